--- a/rehearse/src/fakes/cache_memory.rs
+++ b/rehearse/src/fakes/cache_memory.rs
@@ -44,8 +44,8 @@
         self.used_kb
     }
 
-    /// Returns the time of the copy of a part, if there is one that is not older than `min_made`. Sets its rank unless `rank`
-    /// is 0.
+    /// Returns the time at which the origin sent the stored copy of a part, unless the copy is older than `min_made`.
+    /// Sets the copy's rank unless `rank` is 0.
     pub fn get(&mut self, part: Part, min_made: Micros, rank: u8) -> Option<Micros> {
         let copy = self.copies.get_mut(&part).filter(|c| c.made >= min_made)?;
         self.use_count += 1;
@@ -57,8 +57,8 @@
         Some(copy.made)
     }
 
-    /// Stores a copy and replaces an older one. Returns false without eviction if it has rank 0, is older than the stored
-    /// copy, or would evict copies of a higher rank.
+    /// Stores a copy and replaces an older copy of the same part. Returns false and evicts nothing if the new copy has
+    /// rank 0, is older than the stored copy, or would evict copies of a higher rank.
     pub fn insert(&mut self, part: Part, group: u64, size: u64, made: Micros, rank: u8) -> bool {
         if rank == 0
             || size > self.capacity_kb
--- a/rehearse/src/fakes/shared_link.rs
+++ b/rehearse/src/fakes/shared_link.rs
@@ -55,7 +55,7 @@
     pub fn advance(&mut self, now: Micros) -> Vec<(u64, Micros)> {
         let mut ended = Vec::new();
         while let Some((&position, &id)) = self.ends.first_key_value() {
-            // Each end raises the rate of the others.
+            // When a transfer ends, the rate of the remaining transfers may increase.
             let wait = (f64::from_bits(position.0) - self.progress_us).max(0.0) / self.rate();
             let end = self.updated_at as f64 + wait;
             if end > now as f64 {
--- a/rehearse/src/fakes/site/fills.rs
+++ b/rehearse/src/fakes/site/fills.rs
@@ -7,9 +7,9 @@
 
 /// The answer of a source to a fill.
 struct SourceAnswer {
-    /// The time until its first byte.
+    /// The time until the first byte arrives.
     wait_us: Micros,
-    /// The origin of the copy, as the protocol's field `how`.
+    /// How the copy was obtained, as in the protocol's field `how`.
     how: &'static str,
     /// The time of the copy.
     made: Micros,
@@ -57,7 +57,7 @@
         self.begin_fill(now, uid, request, fetch, out);
     }
 
-    /// Runs a write at the origin. Other nodes reject it.
+    /// Executes a write at the origin. Nodes other than the origin reject writes.
     fn begin_write(&mut self, now: Micros, uid: &str, request: u64, out: &mut Vec<SiteOutput>) {
         if self
             .nodes
@@ -85,7 +85,7 @@
         let Some(fill) = node.filling.get_mut(&fetch.part) else {
             return;
         };
-        // A fill from a copy that is too old for this request can't be joined.
+        // The request cannot join a fill whose copy is older than the request's maximum age.
         if !fetch.join || fill.made < now.saturating_sub(fetch.max_age_us) {
             return self.reject(now, uid, request, "404", "rode", out);
         }
@@ -93,7 +93,7 @@
         fill.fetch.rank = fill.fetch.rank.max(fetch.rank);
         let (made, is_sending) = (fill.made, self.fills_on_link.contains_key(&fill.number));
         if let Some(open) = node.open.get_mut(&request).filter(|_| is_sending) {
-            // The first byte has arrived, so the request is sent from here on.
+            // The first byte of the fill has arrived, so the answer can be sent immediately.
             open.phase = Phase::Sending {
                 how: "rode",
                 made,
@@ -157,7 +157,7 @@
         );
     }
 
-    /// Starts a request at the origin and returns its duration, which grows with the number of concurrent ones.
+    /// Starts a request at the origin and returns its duration, which grows with the number of concurrent requests.
     fn begin_origin_request(&mut self, now: Micros) -> Micros {
         let workers = self
             .nodes
@@ -171,7 +171,7 @@
         took
     }
 
-    /// Returns the answer of a source to a fill, or none if it has no usable copy.
+    /// Returns the answer of a source to a fill, or `None` if the source has no usable copy.
     fn query_source(&mut self, now: Micros, source: &str, f: &Fetch) -> Option<SourceAnswer> {
         let answer = |wait_us, how, made| Some(SourceAnswer { wait_us, how, made });
         let kind = self.nodes.get(source)?.kind;
@@ -208,7 +208,7 @@
             let Some(FillInProgress { fetch: f, made, .. }) = node.filling.remove(&part) else {
                 return;
             };
-            // The copy is older than a purge that the node applied during the fill.
+            // The node applied a purge during the fill that is newer than the copy.
             let is_purged = [Ok(part.0), Err(f.group)]
                 .iter()
                 .any(|w| node.applied_purges.get(w).is_some_and(|at| made < *at));
--- a/rehearse/src/fakes/site/forms.rs
+++ b/rehearse/src/fakes/site/forms.rs
@@ -10,7 +10,7 @@
     EdgeCache,
     /// A parent cache, which fetches missing parts from the origin, once for all waiting requests.
     ParentCache,
-    /// The origin, which has all objects and runs writes.
+    /// The origin, which has all objects and executes writes.
     Origin,
 }
 
@@ -19,11 +19,11 @@
 pub struct NodeParameters {
     /// The maximum number of requests being served.
     pub slots: usize,
-    /// The maximum number of requests waiting for a slot. Further ones are rejected.
+    /// The maximum number of requests waiting for a slot. Further requests are rejected.
     pub waiting: usize,
-    /// The capacity of its outgoing link, in transfers at full rate.
+    /// The capacity of the node's outgoing link, in concurrent transfers at full rate.
     pub capacity: f64,
-    /// The size of its memory, in KB.
+    /// The size of the node's memory for copies, in KB.
     pub memory_kb: u64,
     /// The maximum number of concurrent fills, or the number of workers of the origin.
     pub fills: usize,
@@ -44,11 +44,11 @@
     pub far_us: Micros,
     /// The origin's response time without queueing.
     pub origin_us: Micros,
-    /// The time for which the origin drops repeats of a key.
+    /// The time for which the origin drops writes that repeat an idempotency key.
     pub key_us: Micros,
-    /// The maximum time until a cache applies a purge. Each cache has its own delay.
+    /// The maximum delay with which a cache applies a purge. The delays differ between caches.
     pub purge_takes_us: Micros,
-    /// Whether a fill in progress during a purge may store its old copy.
+    /// Whether a fill that is in progress during a purge may store a copy from before the purge.
     pub late_fills: bool,
 }
 
@@ -58,17 +58,17 @@
 /// A request as it arrives at a node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fetch {
-    /// The number of its connection.
+    /// The number of the connection on which the request arrived.
     pub connection: u64,
-    /// The index of the proxy that sent it.
+    /// The index of the proxy that sent the request.
     pub proxy: usize,
-    /// Its id on the wire.
+    /// The id of the request in the wire protocol.
     pub id: String,
     /// The object and part.
     pub part: Part,
     /// The group of the object.
     pub group: u64,
-    /// The transfer time of its answer at full rate.
+    /// The time to transfer the answer at full rate.
     pub work_us: Micros,
     /// The size of the part, in KB.
     pub kb: u64,
@@ -78,9 +78,9 @@
     pub rank: u8,
     /// The maximum age of a usable copy.
     pub max_age_us: Micros,
-    /// Whether it may join a fill in progress.
+    /// Whether the request may wait for a fill that another request started.
     pub join: bool,
-    /// Set for a write, with its idempotency key if it has one.
+    /// `Some` for a write, containing the idempotency key if the write has one.
     pub write: Option<Option<String>>,
 }
 
@@ -89,15 +89,15 @@
 pub enum SiteOutput {
     /// An answer to a request.
     Answer {
-        /// Its connection.
+        /// The connection on which the answer is sent.
         connection: u64,
-        /// Its id.
+        /// The id of the answered request.
         id: String,
         /// `200`, `404` or `503`.
         status: &'static str,
-        /// The origin of the copy, as the protocol's field `how`.
+        /// How the copy was obtained, as in the protocol's field `how`.
         how: &'static str,
-        /// The time that it waited for the source.
+        /// The time that the request waited for the source of its fill.
         waited_us: Micros,
         /// The time of the copy.
         made: Micros,
--- a/rehearse/src/fakes/site/mod.rs
+++ b/rehearse/src/fakes/site/mod.rs
@@ -36,12 +36,12 @@
     fetch: Fetch,
     phase: Phase,
     since: Micros,
-    /// The index of its attempt in the record.
+    /// The index of the request's attempt in `FakeSite::attempts`.
     attempt: usize,
 }
 
 impl Open {
-    /// Returns the answer with the index of its attempt, if the request was being sent.
+    /// Returns the answer and the index of the attempt, or `None` if the answer was not yet being sent.
     fn into_answer(self) -> Option<(usize, SiteOutput)> {
         let Phase::Sending {
             how,
@@ -73,7 +73,7 @@
     started_at: Micros,
     /// The requests that the fill serves, without aborted ones.
     waiters: Vec<u64>,
-    /// The first request for it, with the highest rank of all requests.
+    /// The request that started the fill, with the highest rank of all requests that the fill serves.
     fetch: Fetch,
 }
 
@@ -89,13 +89,14 @@
     open: BTreeMap<u64, Open>,
     waiting: VecDeque<u64>,
     filling: HashMap<Part, FillInProgress>,
-    /// At a parent cache, the fetches in progress: when each ends and the time of its copy.
+    /// At a parent cache, the fetches in progress, each with its end time and the time at which the origin sent the
+    /// copy.
     fetching: HashMap<Part, (Micros, Micros)>,
-    /// The applied purges with their times.
+    /// The applied purges with the times at which they were issued.
     applied_purges: HashMap<PurgeTarget, Micros>,
 }
 
-/// The nodes of a rehearsal.
+/// The fake nodes of a test run: edge caches, parent caches and the origin.
 pub struct FakeSite {
     site: SiteParameters,
     site_link: SharedLink,
@@ -105,10 +106,10 @@
     timers: BTreeMap<(Micros, u64), Timer>,
     next: u64,
     origin_requests: usize,
-    /// The factor by which the origin is slower.
+    /// The factor by which the origin's response time is multiplied.
     origin_slowdown: f64,
     keys: HashMap<String, Micros>,
-    /// The number of writes that ran, and of those among them that repeated an earlier key.
+    /// The number of executed writes, and how many of these repeated an earlier idempotency key.
     pub writes: (u64, u64),
     /// The attempts that have arrived.
     pub attempts: Vec<Attempt>,
@@ -175,7 +176,7 @@
         node.link = SharedLink::new(node.parameters.capacity);
     }
 
-    /// Stalls a node for a time, in which it sends nothing.
+    /// Stalls a node for the given time. A stalled node sends nothing.
     pub fn stall(&mut self, now: Micros, uid: &str, lasts: Micros) {
         if let Some(node) = self.nodes.get_mut(uid) {
             node.stalled = true;
@@ -184,12 +185,12 @@
         }
     }
 
-    /// Sets the factor by which the origin is slower.
+    /// Sets the factor by which the origin's response time is multiplied.
     pub fn set_origin_slowdown(&mut self, times: f64) {
         self.origin_slowdown = times;
     }
 
-    /// Purges a target at all nodes, each after a delay of its own.
+    /// Purges an object or group at all nodes. Each node applies the purge after an individual delay.
     pub fn purge_all(&mut self, now: Micros, what: PurgeTarget, at: Micros) {
         let uids: Vec<String> = self.nodes.keys().cloned().collect();
         for uid in uids {
--- a/rehearse/src/fakes/site/requests.rs
+++ b/rehearse/src/fakes/site/requests.rs
@@ -79,7 +79,7 @@
         });
     }
 
-    /// Adds work to a node's load, and crashes a cold node that is overloaded. Returns whether it crashed.
+    /// Adds work to a node's load, and crashes a cold node that is overloaded. Returns whether the node crashed.
     pub(super) fn add_load(
         &mut self,
         now: Micros,
--- a/rehearse/src/fakes/site/timers.rs
+++ b/rehearse/src/fakes/site/timers.rs
@@ -16,7 +16,7 @@
     WriteDone(String, u64),
     /// The stall of a node ends.
     StallEnd(String),
-    /// A node applies a purge of this target and time.
+    /// A node applies a purge, with the purged object or group and the time of the purge.
     ApplyPurge(String, PurgeTarget, Micros),
 }
 
@@ -60,7 +60,7 @@
             .begin(number, (work as f64 / self.site.fill_pace) as Micros);
     }
 
-    /// Aborts a fill that has not started in time and rejects its requests.
+    /// Aborts a fill whose first byte did not arrive before the timeout, and rejects its requests.
     fn expire_fill(
         &mut self,
         now: Micros,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Answers a write that has run at the origin.
+    /// Answers a write that the origin has executed.
     fn finish_write(&mut self, now: Micros, uid: &str, request: u64, out: &mut Vec<SiteOutput>) {
         let Some(open) = self
             .nodes
@@ -115,7 +115,8 @@
         });
     }
 
-    /// Counts a write, unless the origin drops it as a repeat of its key.
+    /// Counts an executed write. A write that repeats a recent idempotency key is dropped by the origin and not
+    /// counted.
     fn count_write(&mut self, now: Micros, key: Option<String>) {
         let known = key.as_ref().and_then(|k| self.keys.get(k)).copied();
         if known.is_none_or(|at| now >= at + self.site.key_us) {
--- a/rehearse/src/fakes/site_server.rs
+++ b/rehearse/src/fakes/site_server.rs
@@ -15,10 +15,10 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// The size in KB and the group of each part, which the wire does not carry.
+/// The size in KB and the group of each part, which are not contained in the requests on the wire.
 pub type Parts = HashMap<(u64, u64), (f64, u64)>;
 
-/// The properties of the load that the nodes can't learn from the wire.
+/// The properties of the load that the nodes need and that are not contained in requests.
 pub struct Workload {
     /// The parts of all objects.
     pub parts: Parts,
@@ -328,7 +328,7 @@
     }
 }
 
-/// Returns the bytes of a part in a copy of this time, from which a client can verify that they are complete.
+/// Returns the body of a part. The body depends on the time of the copy, so that a client can verify it completely.
 pub fn part_bytes(part: (u64, u64), made_ms: u64) -> Vec<u8> {
     let head = format!("{:016x}/{}@{made_ms};", part.0, part.1);
     let fill = part.0 ^ part.1.wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -338,7 +338,7 @@
         .collect()
 }
 
-/// Returns the time of the copy if these are the complete bytes of the part.
+/// Returns the time of the copy, or `None` if the body is incomplete or belongs to another part.
 pub fn verified_copy_time_ms(part: (u64, u64), body: &[u8]) -> Option<u64> {
     let end = body.iter().take(64).position(|b| *b == b';')?;
     let head = std::str::from_utf8(&body[..end]).ok()?;
--- a/rehearse/src/player/clients.rs
+++ b/rehearse/src/player/clients.rs
@@ -12,14 +12,14 @@
 
 /// The maximum number of retries of a refused request.
 const MAX_RETRIES: u32 = 2;
-/// The delay before a retry if the answer advises none.
+/// The delay before a retry if the refusal names no retry delay.
 const DEFAULT_RETRY_MS: u64 = 200;
 
 /// A request of a client with its retry number.
 #[derive(Clone)]
 pub(super) struct ClientRequest {
     pub(super) arrival: Arrival,
-    /// The id of the first request that this one retries; empty for a first request.
+    /// The id of the first request in the series of retries; empty if the request is not a retry.
     pub(super) first_id: String,
     pub(super) retry: u32,
 }
@@ -86,7 +86,7 @@
 }
 
 impl Clients {
-    /// Returns clients without requests, which send their retries to `retries`.
+    /// Creates an empty record whose scheduled retries are sent to `retries`.
     pub(super) fn new(retries: Sender<Retry>) -> Self {
         Clients {
             record: Mutex::default(),
@@ -98,7 +98,7 @@
         self.record.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads the answers of one connection until it ends or times out without open requests.
+    /// Reads the answers on a connection until it is closed, or idle without open requests for too long.
     pub(super) fn read(&self, mut web: WebServer, open: &OpenRequests) {
         loop {
             match web.end() {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Records an answer and schedules a retry if it is a refusal. An aborted request has no answer.
+    /// Records an answer and schedules a retry if the request was refused. Aborted requests get no recorded answer.
     fn record_answer(&self, at: Micros, id: Option<String>, answer: Option<Answer>) {
         let (Some(id), Some(answer)) = (id, answer) else {
             return;
@@ -151,7 +151,7 @@
     }
 }
 
-/// Returns the outcome of this answer for the client.
+/// Classifies an answer as served, refused or failed.
 fn classify(arrival: &Arrival, answer: &Answer, advised_ms: Option<u64>) -> FinalAnswer {
     match answer.status {
         200 => {
--- a/rehearse/src/player/deployment.rs
+++ b/rehearse/src/player/deployment.rs
@@ -8,16 +8,16 @@
 
 // The behaviour of cold caches, used both in the settings of the proxies and by the fakes.
 
-/// The share of its capacity that a cache has at its start.
+/// The share of its full capacity that a cache has when it starts cold.
 const COLD_CAPACITY_SHARE: f64 = 0.15;
 const WARM_UP_US: Micros = 13_000_000;
 const OVERLOAD_MULTIPLE: f64 = 2.5;
 const OVERLOAD_WINDOW_US: Micros = 3_000_000;
-/// The time for which the origin drops repeats of a write's key.
+/// The time for which the origin drops writes that repeat an idempotency key.
 const KEY_WINDOW_US: Micros = 3_000_000;
 /// The multiple of an answer's transfer time that is added to the response time objective.
 const OBJECTIVE_STRETCH: f64 = 2.0;
-/// The share of its weight that a late answer earns.
+/// The share of a request's weight that a late answer adds to the score.
 const LATE_WEIGHT: f64 = 0.1;
 
 /// Returns the response time objective of a class.
@@ -129,13 +129,13 @@
     pub uid: String,
     /// The zone of the node.
     pub zone: &'static str,
-    /// Its kind on the event bus.
+    /// The kind of the node, as written on the event bus.
     pub model: &'static str,
     /// The capacity of its outgoing link, in transfers at full rate.
     pub capacity: f64,
 }
 
-/// The nodes of a rehearsal, both as fakes and as listed to the proxies.
+/// The nodes of a test run, both as fakes and as listed to the proxies.
 pub struct Deployment {
     /// The fake site.
     pub site: FakeSite,
--- a/rehearse/src/player/environment.rs
+++ b/rehearse/src/player/environment.rs
@@ -19,7 +19,7 @@
     defect: Option<PlayDefect>,
     site_server: SiteServer,
     nodes: Vec<Node>,
-    /// One bus for each proxy, as the nodes have different addresses for each.
+    /// One bus for each proxy, because each node has a different address for each proxy.
     buses: Vec<Bus>,
     notices: Vec<Notice>,
     cold_starts: Vec<ColdStart>,
@@ -30,11 +30,11 @@
     pub(super) site: FakeSite,
     pub(super) notices: Vec<Notice>,
     pub(super) cold_starts: Vec<ColdStart>,
-    /// Held until the proxies have ended, so that none of them loses its bus before.
+    /// The buses are kept open until the proxies have exited, so that no proxy loses its bus while it runs.
     _buses: Vec<Bus>,
 }
 
-/// A node with the state in which a bus lists it.
+/// A node and the state that the buses announce for it.
 struct Listing<'a> {
     node: &'a Node,
     state: &'static str,
@@ -173,7 +173,8 @@
         });
     }
 
-    /// Purges an object or a group. The proxies are notified at once, and each node applies the purge after a delay of its own.
+    /// Purges an object or a group. The proxies are notified immediately. Each node applies the purge after an
+    /// individual delay.
     pub(super) fn purge(&mut self, purge: &Purge) {
         let at = unix_us();
         let what = purge.target;
@@ -218,7 +219,7 @@
     }
 }
 
-/// Returns the properties of the load that the nodes can't learn from the wire.
+/// Returns the properties of the load that the nodes need and that are not contained in requests.
 fn workload(scenario: &Scenario, plan: &Plan, defect: Option<PlayDefect>) -> Workload {
     let parts = plan
         .arrivals
--- a/rehearse/src/player/load_generator.rs
+++ b/rehearse/src/player/load_generator.rs
@@ -20,17 +20,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The idle time after which a client closes a connection, shorter than the proxy's.
+/// The idle time after which a client closes a connection. It is shorter than the proxy's idle timeout, so that the
+/// client closes first.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A new connection is opened only if each has at least this many open requests.
+/// A new connection to a proxy is opened only if each existing connection has at least this many open requests.
 const MIN_REQUESTS_PER_CONNECTION: usize = 4;
 /// The maximum number of open requests on a connection.
 const MAX_REQUESTS_PER_CONNECTION: usize = 32;
-/// The number of connections to a proxy beyond which busy connections are used rather than new ones opened.
+/// The maximum number of connections to a proxy while the existing connections can take further requests.
 const TARGET_CONNECTIONS: usize = 16;
-/// The interval of progress reports.
+/// The interval at which the progress callback is called.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
-/// The interval of the loop.
+/// The pause between two iterations of the sending loop.
 const TICK: Duration = Duration::from_micros(500);
 
 struct Connection {
@@ -86,7 +87,7 @@
     clients: Arc<Clients>,
     /// The open connections by proxy.
     connections: Vec<Vec<Connection>>,
-    /// Whether no answer is due to requests at a killed proxy. False only with an injected defect.
+    /// Whether requests that are open at a killed proxy need no answer. False only with an injected defect.
     release_killed: bool,
     sent: Sent,
 }
@@ -96,9 +97,9 @@
 pub(super) struct Sent {
     /// The requests that were sent.
     pub(super) requests: Vec<Request>,
-    /// The delay of each request against its due time.
+    /// The delay of each request from its scheduled to its actual sending time.
     pub(super) lags: Vec<Micros>,
-    /// The number of requests that no proxy accepted.
+    /// The number of planned requests that could not be sent because no proxy accepted them.
     pub(super) unsent: usize,
 }
 
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Plays a schedule to its end. Returns the seconds after which it was interrupted, if it was.
+    /// Plays a schedule to its end. Returns the seconds after which the play was interrupted, or `None` if it was not.
     pub(super) fn play(
         &mut self,
         mut schedule: Schedule<'_>,
@@ -138,7 +139,7 @@
                 .stop
                 .is_some_and(|stop| stop.load(Ordering::Relaxed))
             {
-                // No answer is due to open requests after an interruption.
+                // Requests that are open at the interruption need no answer.
                 self.release(now, |_| true);
                 return Ok(Some(schedule.seconds_at(now)));
             }
@@ -176,7 +177,7 @@
         self.sent
     }
 
-    /// Takes restarted proxies back into use. One that could not start ends the play.
+    /// Takes restarted proxies back into use. Ends the play with an error if a proxy could not be restarted.
     fn take_restarted(&mut self) -> io::Result<()> {
         while let Some(proxy) = self.proxies.take_restarted()? {
             self.connections[proxy].clear();
@@ -194,7 +195,7 @@
         match *step {
             Step::FreezeProxy(proxy) => {
                 self.proxies.freeze(proxy)?;
-                // Its clients turn to the next proxy.
+                // Clients of this proxy send further requests to the next proxy.
                 self.release(now, |p| p == proxy);
                 self.connections[proxy].clear();
             }
@@ -204,13 +205,13 @@
             }
             Step::KillProxy(proxy) => {
                 self.proxies.kill(proxy)?;
-                // No answer is due to requests that the rehearsal itself ended.
+                // Requests that were cut off by the test itself need no answer.
                 if self.release_killed {
                     self.release(now, |p| p == proxy);
                 }
                 self.connections[proxy].clear();
             }
-            // Its connections stay open for the remaining answers. Nothing new is sent on them.
+            // The proxy's connections stay open for the remaining answers, but no new requests are sent on them.
             Step::TerminateProxy(proxy) => self.proxies.terminate(proxy)?,
             Step::RestartProxy(proxy) => self.proxies.restart(proxy),
             Step::DrainCache(_)
@@ -223,7 +224,7 @@
         Ok(())
     }
 
-    /// Marks the open requests at the proxies selected by `at` as released: no answer to them is due from `now`.
+    /// Marks the open requests at the proxies selected by `at` as released from `now` on, so that they need no answer.
     fn release(&mut self, now: Micros, at: impl Fn(usize) -> bool) {
         let connections = self
             .connections
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Returns the index of a connection to a proxy that takes one more request, and opens one if necessary.
+    /// Returns the index of a connection to a proxy that can take a further request. Opens a connection if necessary.
     fn connection(&mut self, proxy: usize) -> io::Result<usize> {
         let connections = &mut self.connections[proxy];
         connections.retain(|c| c.last_used.elapsed() < IDLE_TIMEOUT || c.open.len() > 0);
@@ -255,7 +256,7 @@
             .enumerate()
             .filter(free)
             .min_by_key(|(_, c)| c.open.len());
-        // Several connections are used, so that the end of one affects few requests.
+        // Requests are spread over several connections, so that a broken connection affects only a few of them.
         let takes_more = |c: &Connection| {
             c.open.len() < MIN_REQUESTS_PER_CONNECTION || connections.len() >= TARGET_CONNECTIONS
         };
@@ -274,7 +275,7 @@
         Ok(connections.len() - 1)
     }
 
-    /// Sends a request that was due at this time. Counts it as unsent if no proxy accepts it.
+    /// Sends a request that was scheduled for this time. Counts the request as unsent if no proxy accepts it.
     fn send(&mut self, due: Micros, request: ClientRequest) -> io::Result<()> {
         let Some(proxy) = self.proxies.route(request.arrival.proxy as usize) else {
             self.sent.unsent += 1;
@@ -302,7 +303,8 @@
         Ok(())
     }
 
-    /// Writes a request to a connection and records it as sent. Returns false if the proxy has closed the connection.
+    /// Writes a request to a connection and records the request as sent. Returns false if the proxy has closed the
+    /// connection.
     fn write(
         &mut self,
         proxy: usize,
@@ -358,7 +360,7 @@
     }
 }
 
-/// Returns the id of the first request that this one retries, or `id` if it is the first.
+/// Returns the id of the first request in a series of retries, or `id` if the request is not a retry.
 fn first_id(request: &ClientRequest, id: &str) -> String {
     if request.first_id.is_empty() {
         id.to_owned()
--- a/rehearse/src/player/mod.rs
+++ b/rehearse/src/player/mod.rs
@@ -29,28 +29,28 @@
 use std::sync::{mpsc, Arc};
 use thiserror::Error;
 
-/// The outcome of a rehearsal.
+/// The outcome of a test run (rehearsal) of a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
     /// The number of requests sent, including retries.
     pub requests: usize,
-    /// The delay of sent requests against the plan: 99th percentile and maximum.
+    /// The delay from the scheduled to the actual sending time of requests: 99th percentile and maximum.
     pub lag_us: (Micros, Micros),
-    /// The score.
+    /// The score of the answers, weighted by request class.
     pub score: Score,
-    /// The waits of clients by class.
+    /// The waiting times of clients, by request class.
     pub waits: Vec<Waits>,
-    /// The breaches of rules.
+    /// The breaches of rules that were found in the record.
     pub breaches: Vec<Breach>,
-    /// The number of writes that ran, and of those among them that repeated an earlier key.
+    /// The number of writes that the origin executed, and how many of these repeated an earlier idempotency key.
     pub writes: (u64, u64),
-    /// The number of planned requests that no proxy accepted, as all were down or the connection broke.
+    /// The number of planned requests that could not be sent because all proxies were down or the connection broke.
     pub unsent: usize,
-    /// The seconds of load after which it was interrupted, if it was.
+    /// The seconds after the start of the load at which the run was interrupted, or `None` if it was not.
     pub interrupted: Option<f64>,
 }
 
-/// The reason for which a rehearsal is inconclusive.
+/// The reason why the result of a test run is inconclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Inconclusive {
     /// No request was sent.
@@ -62,16 +62,16 @@
     /// The load generator fell behind its plan.
     #[error("the load came {p99_ms} ms late (p99)")]
     LateLoadGenerator {
-        /// The 99th percentile of the delay.
+        /// The 99th percentile of the sending delay, in milliseconds.
         p99_ms: u64,
     },
 }
 
 impl Outcome {
-    /// Checks that the rehearsal is conclusive, so that one without traffic does not pass.
+    /// Checks that the run is conclusive, so that a run without traffic does not pass.
     ///
     /// # Errors
-    /// Returns the reason for which it is inconclusive.
+    /// Returns the reason why the run is inconclusive.
     pub fn check_conclusive(&self) -> Result<(), Inconclusive> {
         if self.score.total.score().is_none() {
             return Err(Inconclusive::NoRequestSent);
@@ -88,7 +88,8 @@
     }
 }
 
-/// The maximum delay of the load generator at the 99th percentile. Beyond it the results reflect the generator.
+/// The maximum 99th percentile of the sending delay. Above it, the results would reflect the load generator rather than
+/// the proxies.
 pub const MAX_LAG_US: Micros = 50_000;
 /// The delay between the start of the processes and the load.
 const START_DELAY_US: Micros = 200_000;
@@ -102,21 +103,22 @@
     WrongBytes,
     /// Drains are recorded as notified, but are not sent to the proxies.
     DrainsNotSent,
-    /// Answers stay due to requests that were open at a killed proxy.
+    /// Requests that were open at a killed proxy still count as unanswered.
     KilledRequestsDue,
 }
 
 /// Stops a play early and observes its progress.
 #[derive(Clone, Copy, Default)]
 pub struct PlayControl<'a> {
-    /// Set to end the play at once, for example by a handler of SIGINT. No answer is due to open requests then, and the
-    /// outcome covers the events until that time.
+    /// Set to end the play at once, for example by a SIGINT handler. Requests that are still open then need no answer,
+    /// and the outcome covers the events until that time.
     pub stop: Option<&'a AtomicBool>,
     /// Called about ten times a second with the seconds since the start of the load and the number of requests sent.
     pub progress: Option<&'a dyn Fn(f64, usize)>,
 }
 
-/// Plays a scenario with this daemon. An error means that the play itself failed.
+/// Plays a scenario with this daemon executable. An error means that the scenario could not be played; breaches of
+/// rules are part of the outcome.
 pub fn play(
     daemon: &Path,
     scenario: &Scenario,
@@ -242,7 +244,7 @@
     })
 }
 
-/// Returns the outcome of a record, given the sorted lags of its load.
+/// Returns the outcome of a record, given the sorted sending delays of its requests.
 fn outcome_of(record: &Record, lags: &[Micros]) -> Outcome {
     let lag_us = (quantile(lags, 0.99), quantile(lags, 1.0));
     let limits = Limits {
@@ -261,7 +263,7 @@
     }
 }
 
-/// Returns a quantile of sorted lags, or 0 if there are none.
+/// Returns a quantile of sorted sending delays, or 0 if there are none.
 fn quantile(lags: &[Micros], share: f64) -> Micros {
     let index = (lags.len() as f64 * share) as usize;
     lags.get(index).or(lags.last()).copied().unwrap_or(0)
--- a/rehearse/src/player/proxies.rs
+++ b/rehearse/src/player/proxies.rs
@@ -78,7 +78,7 @@
             .peers
             .then(|| FaultyLinks::between(&ports, seed))
             .transpose()?;
-        // Test runs ignore all other settings of the operators' file.
+        // The only setting that a test run needs in the operators' file is whether the proxy informs its peers.
         let own_file = if scenario.peers {
             json!({"peers": {"tell": true}})
         } else {
--- a/rehearse/src/rules/drains.rs
+++ b/rehearse/src/rules/drains.rs
@@ -32,8 +32,8 @@
         StateNotices(notices)
     }
 
-    /// Returns the time of the first notice that told this proxy that the cache is out of service. Repeated notices do
-    /// not restart the grace period.
+    /// Returns the time at which this proxy was notified that the cache is out of service, or `None` if the cache was
+    /// in service at `at`. Repeated notices do not restart the grace period.
     fn out_since(&self, proxy: usize, uid: &str, at: Micros) -> Option<Micros> {
         let notices = self.0.get(&(proxy, uid))?;
         let mut since = None;
--- a/rehearse/src/scale/daemons/acks.rs
+++ b/rehearse/src/scale/daemons/acks.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 struct WriterLog {
     purges: Vec<IssuedPurge>,
-    /// Number of acknowledged purges, by daemon.
+    /// For each daemon, how many of the member's purges it has acknowledged.
     acknowledged: Vec<usize>,
 }
 
@@ -36,7 +36,7 @@
 
 /// Returns an empty histogram of delays in microseconds.
 pub fn delay_histogram() -> Histogram<u64> {
-    // The histogram supports these bounds and this precision.
+    // Creation fails only for unsupported bounds or precision, and these are supported.
     Histogram::new_with_bounds(1, MAX_DELAY_US, 3).expect("valid histogram bounds")
 }
 
--- a/rehearse/src/scale/daemons/command.rs
+++ b/rehearse/src/scale/daemons/command.rs
@@ -29,7 +29,7 @@
 
 /// Time limit of all sizes together; a size that is expected to exceed it is skipped.
 const MAX_TOTAL_DURATION: Duration = Duration::from_secs(290);
-/// Estimated duration of startup, budget allocation and settling, and the rate at which daemons discover members.
+/// Estimated duration of startup, budget allocation and convergence, and the rate at which daemons discover members.
 const OTHER_SECONDS: u64 = 10;
 const INTRODUCED_PER_SECOND: u64 = 16;
 
--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -65,7 +65,7 @@
 }
 
 impl HollowHost {
-    /// Starts the hollow members of a fleet, with membership views that contain each other.
+    /// Starts the hollow members of a fleet. Each member's membership view already contains all other hollow members.
     pub fn start(
         config: Arc<FleetConfig>,
         sockets: MemberSockets,
@@ -359,7 +359,7 @@
     }
 }
 
-/// Returns the index of this writer's entry among the datagrams to the first daemon.
+/// Returns the log index of the writer's own entry, taken from the datagrams addressed to the first daemon.
 fn own_entry(outgoing: &[Outgoing], writer_id: Writer) -> Option<Index> {
     let mut to_first = outgoing.iter().filter(|outgoing| outgoing.to == 0);
     to_first.find_map(|outgoing| match Datagram::decode(&outgoing.bytes) {
--- a/rehearse/src/scale/daemons/mod.rs
+++ b/rehearse/src/scale/daemons/mod.rs
@@ -1,5 +1,5 @@
-//! Measures the control cost of real daemons on loopback, next to hollow members that stand in for the rest of a large
-//! fleet.
+//! Measures the resources that real daemons use for control traffic on loopback. Hollow members simulate the rest of a
+//! large fleet.
 //!
 //! The hollow members run in this process and exchange datagrams with the daemons over sockets. Processor time and
 //! memory are read from the operating system for each daemon process. Bytes are counted for datagrams between daemons
--- a/rehearse/src/scale/daemons/real.rs
+++ b/rehearse/src/scale/daemons/real.rs
@@ -16,8 +16,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use thiserror::Error;
 
-/// Resources in each daemon's configuration, for the limits derived from them. They bound client traffic and do not
-/// affect the control cost.
+/// Resources in each daemon's configuration, from which the daemon derives its limits on client traffic. They do not
+/// affect the measured cost of control traffic.
 const MEMORY_MB: usize = 256;
 const DESCRIPTORS: usize = 1_024;
 
--- a/rehearse/src/scale/daemons/report.rs
+++ b/rehearse/src/scale/daemons/report.rs
@@ -81,7 +81,7 @@
     pub by_daemon: Vec<DaemonReport>,
     /// Purges issued at hollow members.
     pub hollow_purges: usize,
-    /// Number of times that a hollow member considered a running one dead.
+    /// Number of times that a hollow member considered a running member dead.
     pub false_deaths: u64,
     /// Time until all members knew each other, in milliseconds.
     pub warm_up_ms: Option<u64>,
@@ -91,11 +91,11 @@
     pub lateness_ms: [f64; 2],
     /// Processor time of this process, as a percentage of one core.
     pub host_processor_percent: f64,
-    /// Whether the hollow members kept pace. Otherwise the figures do not describe the intended load.
+    /// Whether the hollow members ran their timers with little enough delay. Otherwise the figures are not valid.
     pub kept_pace: bool,
     /// Figures of the worst daemon that exceed a limit.
     pub over: Vec<String>,
-    /// Descriptions of what went wrong.
+    /// Descriptions of the failed checks.
     pub wrong: Vec<String>,
 }
 
@@ -320,7 +320,7 @@
     over
 }
 
-/// Describes everything that went wrong in a run.
+/// Describes all failed checks of a run.
 fn wrong(outcome: &Outcome) -> Vec<String> {
     let mut wrong = Vec::new();
     if outcome.warm_up_us.is_none() {
--- a/rehearse/src/scale/daemons/run.rs
+++ b/rehearse/src/scale/daemons/run.rs
@@ -82,13 +82,13 @@
     pub ack_delays: Histogram<u64>,
     /// Purges of hollow members that the daemon did not acknowledge.
     pub unacknowledged: usize,
-    /// Results of the purges sent to its CDNI interface.
+    /// Results of the purges sent to the daemon's CDNI interface.
     pub triggers: TriggerOutcome,
     /// Entries in force at the end.
     pub entries: usize,
     /// Number of logs at the end.
     pub logs: usize,
-    /// Whether its logs equal those of the hollow members.
+    /// Whether the daemon's logs equal those of the hollow members.
     pub is_settled: bool,
 }
 
@@ -103,10 +103,10 @@
     pub refused: Vec<RefusedPurge>,
     /// Number of times that a hollow member considered another member dead, although all were running.
     pub false_deaths: u64,
-    /// Time until all members knew each other in microseconds, or `None` if they did not in time.
+    /// Time in microseconds until all members knew each other, or `None` if the limit was exceeded.
     pub warm_up_us: Option<Micros>,
-    /// Time from the end of the load until all members had the same logs in microseconds, or `None` if they did not in
-    /// time.
+    /// Time in microseconds from the end of the load until all members had the same logs, or `None` if the limit was
+    /// exceeded.
     pub settling_us: Option<Micros>,
     /// 99th percentile of the lateness of hollow members' timers under load, in microseconds.
     pub lateness_p99_us: u64,
@@ -117,7 +117,7 @@
 }
 
 impl Outcome {
-    /// Returns whether the hollow members kept pace, so that the figures describe the intended load.
+    /// Returns whether the hollow members ran their timers with little enough delay for the figures to be valid.
     pub fn kept_pace(&self) -> bool {
         self.lateness_p99_us <= MAX_LATENESS_US
     }
@@ -188,7 +188,8 @@
         Ok(Fleet { run, daemons, host })
     }
 
-    /// Waits until all members know each other and the budgets are allocated, and returns the time until the former.
+    /// Waits until all members know each other and the budgets are allocated. Returns the time until all members knew
+    /// each other, or `None` on timeout.
     fn warm_up(&mut self) -> io::Result<Option<Micros>> {
         let started_at = self.host.now();
         self.host.introduce()?;
@@ -226,7 +227,7 @@
         Ok(true)
     }
 
-    /// Drives the members until a condition holds and returns the time that took, or `None` after `max_us`.
+    /// Runs the hollow members until a condition holds. Returns the elapsed time, or `None` if it exceeds `max_us`.
     fn wait_until(
         &mut self,
         max_us: Micros,
@@ -243,7 +244,8 @@
         Ok(None)
     }
 
-    /// Waits until all purges are answered and in force everywhere, and returns the time that took.
+    /// Waits until all purges are answered and all members have the same logs. Returns the elapsed time, or `None` on
+    /// timeout.
     fn settle(&mut self, clients: &[TriggerClient]) -> io::Result<Option<Micros>> {
         let are_finished = || clients.iter().all(TriggerClient::is_finished);
         self.wait_until(MAX_SETTLING_US, |fleet| {
--- a/rehearse/src/scale/daemons/slopes.rs
+++ b/rehearse/src/scale/daemons/slopes.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Returns the reports of the runs in which the hollow members kept pace.
+/// Returns the reports of the runs whose figures are valid.
 fn measured(runs: &[SizeRun]) -> impl Iterator<Item = &Report> {
     runs.iter().filter_map(|run| match &run.outcome {
         SizeOutcome::Ran(report) if report.kept_pace => Some(&**report),
--- a/rehearse/src/scale/daemons/timers.rs
+++ b/rehearse/src/scale/daemons/timers.rs
@@ -17,7 +17,8 @@
         }
     }
 
-    /// Sets a member's timer unless it already has an earlier one. A member that is woken early sets its timer again.
+    /// Sets a member's timer unless an earlier timer is already set. A member that is woken too early sets its timer
+    /// again.
     pub(super) fn set(&mut self, member: usize, at: Micros) {
         match self.set[member] {
             Some(old) if old <= at => return,
--- a/rehearse/src/scale/fault.rs
+++ b/rehearse/src/scale/fault.rs
@@ -228,7 +228,7 @@
     times.map(late).collect()
 }
 
-/// Stops members and starts them again after `away`.
+/// Schedules the graceful stop of members and their start after the duration `away`.
 fn restart(members: Vec<MemberIndex>, at: Micros, away: Micros) -> [ScheduledAction; 2] {
     let stop = Action::Stop {
         members: members.clone(),
--- a/rehearse/src/scale/hollow/budget_share.rs
+++ b/rehearse/src/scale/hollow/budget_share.rs
@@ -1,4 +1,4 @@
-//! Budget protocol of a hollow member, driven as in the daemon, with random demand.
+//! Budget protocol of a hollow member. The protocol is called as in the daemon, but the demand is random.
 
 use super::outbox::Outbox;
 use crate::scale::fleet_config::{FleetConfig, SharedBudget};
@@ -16,7 +16,7 @@
 /// Upper bound of a member's random demand on a cold cache, in millionths.
 const MAX_COLD_MILLIONTHS: u64 = 30_000;
 
-/// A member's shares of all budgets.
+/// State of the budget protocol at one member: its shares of all budgets and its simulated demand.
 #[derive(Clone, Debug)]
 pub(super) struct BudgetShare {
     index: usize,
--- a/rehearse/src/scale/hollow/event.rs
+++ b/rehearse/src/scale/hollow/event.rs
@@ -10,14 +10,14 @@
     Capacity,
     /// The write queue of the disk is full, or a write failed.
     Disk,
-    /// Too few other machines acknowledged the purge in time.
+    /// Fewer machines than required acknowledged the purge before the commit timeout.
     Acknowledgements,
 }
 
 /// Event of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberEvent {
-    /// A purge is in force at this member. The event may be repeated for a purge.
+    /// A purge is in force at this member. The event may occur several times for the same purge.
     InForce {
         /// Number of the purge.
         purge: PurgeNumber,
--- a/rehearse/src/scale/hollow/inspection.rs
+++ b/rehearse/src/scale/hollow/inspection.rs
@@ -12,7 +12,7 @@
 pub struct LogEnd {
     /// Identifier of the log.
     pub log: LogId,
-    /// Index of its last entry.
+    /// Index of the log's last entry.
     pub index: Index,
 }
 
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -1,4 +1,5 @@
-//! A hollow member runs the daemon's sans-IO protocol code without clients and sockets, with a simulated disk.
+//! Hollow members: simulated proxies that run the daemon's sans-IO protocol code with a simulated disk, but without
+//! clients and sockets.
 //!
 //! Its host passes it received datagrams (`receive`), timer events (`tick`, at the time `due`) and purges, and sends
 //! its outgoing datagrams (`take_outgoing`). The host may run on virtual time or on real sockets.
@@ -277,7 +278,7 @@
         .encode()
     }
 
-    /// Returns the time at which `tick` must be called next.
+    /// Returns the time at which the host must call `tick` next.
     pub fn due(&self) -> Micros {
         let budgets = self.budgets.as_ref().map(BudgetShare::due);
         let others = [budgets, self.plain_purges.due()].into_iter().flatten();
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -1,4 +1,4 @@
-//! Replicated purge logs of a hollow member, driven as in the daemon: purges, commits and disk writes.
+//! Replicated purge logs of a hollow member. Purges, commits and disk writes are handled as in the daemon.
 
 use super::disk::{SimulatedDisk, Write};
 use super::outbox::Outbox;
@@ -27,7 +27,7 @@
 }
 
 impl DiskContents {
-    /// Creates disk contents from logs, of which the next process continues `own_log`.
+    /// Creates disk contents from logs. The next process continues `own_log`.
     pub fn with_logs(logs: LogStore, own_log: LogId) -> Self {
         DiskContents {
             logs,
@@ -169,7 +169,8 @@
             self.replica.expire(now);
         }
         send_all(self.replica.tick(now), outbox);
-        // The daemon computes this for its log, so its cost is included here.
+        // The daemon computes this value for its log messages. The result is unused here, but the measured processor
+        // time includes the computation.
         let _ = self.replica.under_replicated();
         self.resolve_commits(now, events);
         self.schedule_tick(now);
@@ -294,7 +295,7 @@
         received.new.iter().for_each(|entry| self.write(entry, now));
         in_force(&received, events);
         if peer_checksum == Some(self.replica.log_store().checksum()) {
-            // The end of recovery is queried with `has_recovered` instead.
+            // The result is ignored because callers query the end of recovery with `has_recovered`.
             let _ = self
                 .recovery
                 .as_mut()
--- a/rehearse/src/scale/layout.rs
+++ b/rehearse/src/scale/layout.rs
@@ -8,13 +8,13 @@
 /// Distance between two members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// Both are in the same site.
+    /// Both members are in the same site.
     Site,
-    /// Both are in the same zone, at different sites.
+    /// Both members are in the same zone, at different sites.
     Zone,
-    /// Both are in the same region, in different zones.
+    /// Both members are in the same region, in different zones.
     Region,
-    /// They are in different regions.
+    /// The members are in different regions.
     BetweenRegions,
 }
 
--- a/rehearse/src/scale/memory.rs
+++ b/rehearse/src/scale/memory.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Memory of a member apart from its peers, entries and logs. The estimates here are upper bounds of the resident
+/// Memory of a member, excluding its peers, entries and logs. The constants here are upper bounds of the resident
 /// memory per item.
 const MEMBER_BYTES: usize = 120_000;
 
--- a/rehearse/src/scale/network.rs
+++ b/rehearse/src/scale/network.rs
@@ -25,7 +25,8 @@
 pub struct Network {
     layout: Layout,
     conditions: [LinkConditions; 4],
-    /// Time until which each pair of regions is or was disconnected.
+    /// For each disconnected pair of regions, the time at which the connection is restored. Past disconnections are
+    /// kept.
     cuts: BTreeMap<RegionPair, Micros>,
     random: Random,
 }
@@ -62,7 +63,7 @@
         until.is_some_and(|until| *until > since)
     }
 
-    /// Returns the arrival times of a datagram sent now.
+    /// Returns the arrival times of a datagram sent now: none if it is lost, several if it is duplicated.
     pub fn send(&mut self, from: MemberIndex, to: MemberIndex, now: Micros) -> Arrivals {
         if self.was_cut_since(from, to, now) {
             return Arrivals::default();
--- a/rehearse/src/scale/run.rs
+++ b/rehearse/src/scale/run.rs
@@ -14,13 +14,13 @@
 /// Defect that a test injects into a member to check that the verdict detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Drops all entries and plain purges received from peers.
+    /// The member drops all entries and plain purges received from peers.
     DropsPurges,
-    /// Reports twice its lease of each budget as spendable.
+    /// The member reports twice its lease of each budget as spendable.
     SpendsTwice,
-    /// Never compacts its logs.
+    /// The member never compacts its logs.
     NeverCompacts,
-    /// Drops snapshot chunks received from peers.
+    /// The member drops snapshot chunks received from peers.
     DropsSnapshots,
 }
 
@@ -48,7 +48,8 @@
     pub target: Target,
     /// Features of the daemon that are disabled.
     pub disabled: DisabledParts,
-    /// Number of entries that a member stores exactly, or `None` for the daemon's limit.
+    /// Number of purges that a member stores as individual log entries before it compacts the oldest, or `None` for the
+    /// daemon's limit.
     pub exact_entries: Option<usize>,
     /// Injected defects; empty outside tests.
     pub injected_defects: Vec<InjectedDefect>,
--- a/rehearse/src/scale/simulation/mod.rs
+++ b/rehearse/src/scale/simulation/mod.rs
@@ -89,7 +89,7 @@
 struct Joining {
     member: MemberIndex,
     since: Micros,
-    /// Ends of the fleet's logs when the member started.
+    /// Last index of each of the fleet's logs at the time at which the member started.
     ends: Vec<LogEnd>,
 }
 
--- a/rehearse/src/scale/target.rs
+++ b/rehearse/src/scale/target.rs
@@ -55,7 +55,7 @@
 pub struct BudgetFigures {
     /// Concurrent requests that the origin accepts, per proxy.
     pub origin_requests_per_proxy: u64,
-    /// Longest time that such a request occupies the origin.
+    /// Longest time that a request occupies the origin.
     pub origin_settling_ms: u64,
     /// Time that a request occupies a cold cache.
     pub cold_settling_ms: u64,
--- a/rehearse/tests/fake_site.rs
+++ b/rehearse/tests/fake_site.rs
@@ -28,7 +28,7 @@
     link.begin(3, 100 * MS);
     link.begin(4, 200 * MS);
     assert_eq!(link.advance(150 * MS), [(1, 150 * MS), (2, 150 * MS)]);
-    // Transfer 3 has 50 ms left and 4 has 150, and both run at full rate again.
+    // Transfer 3 has 50 ms of work left and transfer 4 has 150 ms. Both run at full rate again.
     assert!(link.cancel(3) && !link.cancel(3));
     assert_eq!(link.next_due(), Some(300 * MS));
     link.set_capacity(0.5);
@@ -51,7 +51,7 @@
             (0, 0, Vec::new(), Vec::new());
         for id in 0..40 {
             now += random.random_range(0..60 * MS);
-            // One link is advanced at each event, the other only when a transfer begins.
+            // The first link is advanced at each event, the second only when a transfer begins.
             while let Some(due) = link.next_due().filter(|due| *due <= now) {
                 ends.extend(link.advance(due));
             }
@@ -120,7 +120,7 @@
     // A copy of lower rank is not stored and evicts nothing.
     assert!(!memory.insert((5, 0), 7, 40, 10, 1));
     assert_eq!(memory.used_kb(), 80);
-    // A use sets the rank, so this copy is evicted first.
+    // Reading a copy sets its rank, so this copy now has the lowest rank and is evicted first.
     memory.get((4, 0), 0, 1);
     assert!(memory.insert((6, 0), 7, 50, 10, 1));
     assert_eq!(
@@ -239,7 +239,7 @@
     );
     site.fetch(200 * MS, "a", fetch("2", 7, None));
     assert_eq!(answers(site.advance(300 * MS)), answer("2", "200", "local"));
-    // The other edge cache finds it in the parent cache.
+    // The other edge cache is filled with the copy from the parent cache.
     site.fetch(300 * MS, "b", fetch("3", 7, Some("hub")));
     assert_eq!(
         answers(site.advance(405 * MS)),
@@ -446,7 +446,8 @@
         overload_multiple: 2.5,
         overload_window_us: 3000 * MS,
     };
-    // 2.5 x 2 x 3 s at 15% and rising is about 4 s of work. Rejected requests count too.
+    // The crash limit in a 3 s window is about 4 s of work: overload factor 2.5 x capacity 2 x 3 s, at 15% of the
+    // capacity and rising. Rejected requests count as work, too.
     for (uid, target, source) in [("a", "a", None), ("hub", "a", Some("hub"))] {
         let mut site = two_tier_site();
         site.start("a", NodeKind::EdgeCache, large_node_parameters(), None);
--- a/rehearse/tests/load.rs
+++ b/rehearse/tests/load.rs
@@ -58,7 +58,7 @@
             .filter(|a| (from * 1_000_000..to * 1_000_000).contains(&a.at))
             .count() as f64
     };
-    // The peak is 210 per second, with parts of videos that began before it.
+    // The peak is 210 requests per second, including parts of videos that started before the peak.
     let top = count_within(28, 44) / 16.0;
     assert!((170.0..250.0).contains(&top), "{top} a second");
     assert!(count_within(0, 8) / 8.0 < 0.65 * top);
@@ -109,7 +109,7 @@
         (0.45..0.75).contains(&once),
         "half, and rare objects of the rest: {once}"
     );
-    // Three in ten of the videos that start during the fault are of the hot object.
+    // Three in ten videos that start during the fault request the hot object.
     let period = 25_000_000..40_000_000;
     let started = |class: usize| {
         of_class(&out, class)
@@ -141,7 +141,7 @@
     assert_eq!(plan(&scenario, 5).purges, []);
 }
 
-/// Errors in a scenario: the original text, its replacement, and the start of the message.
+/// Invalid changes to a scenario: the original text, its replacement, and the start of the expected error message.
 const INVALID_SCENARIOS: [(&str, &str, &str); 16] = [
     (
         "\"seconds\": 60",
--- a/rehearse/tests/purges.rs
+++ b/rehearse/tests/purges.rs
@@ -223,7 +223,7 @@
     }
 }
 
-/// Another proxy, not yet notified, causes the other cache to fill the old copy from its sibling.
+/// A second proxy that has not been notified of the purge makes the other cache fill the old copy from its sibling.
 #[test]
 fn stale_copy_filled_from_a_sibling_is_not_served() {
     let mut p = play(true);
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -255,7 +255,7 @@
             of.iter().all(|b| b.at >= 9 * S && !b.evidence.is_empty()),
             "{of:?}"
         );
-        // The forty fills also exceed six attempts. All other faults break a single rule.
+        // The case with forty fills also exceeds six attempts. Every other case breaks a single rule.
         let others = breaches.iter().filter(|b| b.rule != *rule).count();
         assert!(
             others == 0 || *rule == "cold boxes",
@@ -299,7 +299,7 @@
             .collect::<Vec<_>>(),
         ["purges"]
     );
-    // A request that its client aborted needs no answer.
+    // A released request (aborted by its client, or its proxy was killed) needs no answer.
     let mut record = valid_record();
     record.answered.remove(0);
     record.requests[0].released = Some(11 * S);
@@ -368,7 +368,8 @@
         ..Record::default()
     };
     assert_eq!(class_of(&record, 0), Waits::default());
-    // A hundred requests wait 20 ms each. The load generator sends the last one 2 s late, which counts as a wait.
+    // A hundred requests wait 20 ms each. The load generator sends the last request 2 s late, and the delay counts as
+    // waiting time.
     for n in 0..100 {
         let (id, at) = (format!("{n}"), (10 + n) * S);
         record.requests.push(request(&id, 0, at));
@@ -382,7 +383,7 @@
     record
         .answered
         .push(served("late", 200 * S + 20 * MS, 200 * S));
-    // One request is refused and served by its retry, and one is never served.
+    // One request is refused and then served by its retry. Another request is never served.
     let retry = Request {
         first: "again".into(),
         ..request("retry", 0, 301 * S)
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -296,7 +296,7 @@
     assert!(outcome.states[&0].table_bytes > 0 && outcome.states[&0].entries >= 15_000);
 }
 
-/// The member has the same logs as the others but lacks the purges that were compacted from them.
+/// The joining member has the same logs as the other members but lacks the purges that were compacted earlier.
 #[test]
 fn late_joiner_without_snapshots_is_detected() {
     let injected_defects = vec![InjectedDefect {
--- a/rehearse/tests/scale_daemons.rs
+++ b/rehearse/tests/scale_daemons.rs
@@ -92,7 +92,7 @@
         ),
         (4.0, 10.0, 10.0)
     );
-    // The estimate counts each other daemon as one more hollow member.
+    // The estimated total treats each of the other daemons as an additional hollow member.
     assert_eq!(figures.estimated_kilobytes, 10.0 * 18.0 / 16.0);
 }
 
--- a/rehearse/tests/series.rs
+++ b/rehearse/tests/series.rs
@@ -64,7 +64,7 @@
     let doubled = run_in_parallel(&jobs, 3, |n| {
         let now = running.fetch_add(1, Ordering::SeqCst) + 1;
         most.fetch_max(now, Ordering::SeqCst);
-        // Returns only when three jobs run at the same time.
+        // The barrier releases the jobs only when three of them run at the same time.
         meet.wait();
         running.fetch_sub(1, Ordering::SeqCst);
         n * 2
