--- a/rehearse/src/fakes/site/forms.rs
+++ b/rehearse/src/fakes/site/forms.rs
@@ -36,7 +36,7 @@
 pub struct SiteParameters {
     /// The capacity of the incoming link that all fills share, in transfers to a client at full rate.
     pub link: f64,
-    /// The full rate of a fill relative to that of a transfer to a client.
+    /// The full rate of a fill, as a multiple of the full rate of a transfer to a client.
     pub fill_pace: f64,
     /// The round-trip time to a parent cache.
     pub near_us: Micros,
--- a/rehearse/src/fakes/site/mod.rs
+++ b/rehearse/src/fakes/site/mod.rs
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Adds a node, or starts one again with an empty memory. With a `ColdStart` it starts cold.
+    /// Adds a node, or restarts an existing node with an empty memory. With a `ColdStart`, the node starts with reduced
+    /// capacity.
     pub fn start(
         &mut self,
         uid: &str,
--- a/rehearse/src/fakes/site_server.rs
+++ b/rehearse/src/fakes/site_server.rs
@@ -35,7 +35,7 @@
 pub struct ClassRules {
     /// The time for which a copy is fresh, in microseconds. 0 means without limit.
     pub freshness_us: Micros,
-    /// Whether its requests are writes.
+    /// Whether requests of the class are writes.
     pub is_write: bool,
 }
 
@@ -168,7 +168,7 @@
         let _ = self.sender.send(Message::Change(Box::new(change)));
     }
 
-    /// Stops the site and returns it with its record.
+    /// Stops the site and returns it, including the recorded attempts.
     pub fn end(self) -> io::Result<FakeSite> {
         let _ = self.sender.send(Message::End);
         self.site
--- a/rehearse/src/player/deployment.rs
+++ b/rehearse/src/player/deployment.rs
@@ -131,7 +131,7 @@
     pub zone: &'static str,
     /// The kind of the node, as written on the event bus.
     pub model: &'static str,
-    /// The capacity of its outgoing link, in transfers at full rate.
+    /// The capacity of the node's outgoing link, in concurrent transfers at full rate.
     pub capacity: f64,
 }
 
--- a/rehearse/src/player/environment.rs
+++ b/rehearse/src/player/environment.rs
@@ -25,7 +25,7 @@
     cold_starts: Vec<ColdStart>,
 }
 
-/// The record of an environment after its end.
+/// The data recorded by an environment, returned when it is stopped.
 pub(super) struct EnvironmentRecord {
     pub(super) site: FakeSite,
     pub(super) notices: Vec<Notice>,
--- a/rehearse/src/record.rs
+++ b/rehearse/src/record.rs
@@ -1,5 +1,6 @@
-//! The record of a rehearsal: requests and answers, attempts that reached a cache, and notices to proxies. It is plain data
-//! with timestamps, from which rules and scores are computed afterwards.
+//! The record of a rehearsal, which is a test run of a scenario with real proxies and fake caches: requests and
+//! answers, attempts that reached a cache, and notices to proxies. Rules and scores are computed from the record after
+//! the run.
 
 pub use linnetknot_harness::time::Micros;
 
@@ -31,7 +32,7 @@
     pub late_weight: f64,
 }
 
-/// A request that a client sent. Each retry is a request of its own.
+/// A request that a client sent. Each retry is recorded as a separate request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// The id of this request. Each retry has a new id.
@@ -56,7 +57,8 @@
     pub at: Micros,
     /// The time until which the client waits for the answer.
     pub deadline: Micros,
-    /// The time from which no answer is due, as the client aborted it or the rehearsal ended the proxy's process.
+    /// The time from which a missing answer breaks no rule, because the client aborted the request or the test ended
+    /// the proxy's process.
     pub released: Option<Micros>,
 }
 
@@ -124,7 +126,7 @@
     pub fill_us: Micros,
 }
 
-/// An event of which a proxy is notified, or counts as notified when the rehearsal injects a lost notice.
+/// An event of which a proxy is notified. A notice that a test drops on purpose is recorded as if it had been sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NoticeKind {
     /// A cache is ready for requests.
@@ -153,7 +155,7 @@
     pub kind: NoticeKind,
 }
 
-/// The cold start of a cache during the rehearsal.
+/// The cold start of a cache, during which its capacity is reduced.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ColdStart {
     /// The uid of the cache.
@@ -173,8 +175,8 @@
 }
 
 impl ColdStart {
-    /// Returns the work that it can do between two times, in microseconds of transfer. Its capacity rises linearly until it
-    /// is warm.
+    /// Returns the work that the cache can do between two times, in microseconds of transfer time. The capacity rises
+    /// linearly until the cache is warm.
     pub fn work_capacity_us(&self, from: Micros, to: Micros) -> f64 {
         // The integral of the capacity from the start to a time.
         let upto = |at: Micros| {
@@ -219,7 +221,7 @@
     }
 }
 
-/// The complete record of a rehearsal.
+/// The complete record of a test run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
     /// The classes of the scenario.
--- a/rehearse/src/rules/answers.rs
+++ b/rehearse/src/rules/answers.rs
@@ -1,4 +1,5 @@
-//! Checks final answers: exactly one for each request and in time, intact bodies, and a retry delay in each refusal.
+//! Checks final answers: each request gets exactly one answer before the client's deadline, bodies are intact, and each
+//! refusal contains a retry delay.
 
 use super::{Breach, Case};
 use crate::record::{Answered, FinalAnswer};
@@ -25,7 +26,8 @@
                 request.deadline,
                 "no answer before the client's deadline".into(),
             )),
-            // The time at which the client's thread read the answer, which may lag behind its arrival.
+            // `at` is the time at which the client's thread read the answer, which may be later than the arrival of the
+            // answer. The tolerance allows for this.
             Some(at) if owed && at > request.deadline + case.limits.tolerance_us => {
                 let late = format!(
                     "answered {} us after the client's deadline",
--- a/rehearse/src/rules/commits.rs
+++ b/rehearse/src/rules/commits.rs
@@ -41,7 +41,7 @@
     None,
 }
 
-/// A purge that a peer CDN requested of one proxy.
+/// A purge request that a peer CDN sent to a proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PurgeRequest {
     /// The time at which the request was sent.
@@ -121,7 +121,7 @@
 
 /// Checks that each committed purge is in force at all proxies, and each other purge either at all proxies or at none.
 fn judge_objects(record: &CommitRecord) -> Vec<Breach> {
-    // An object that is purged several times counts as committed if any of its purges was.
+    // An object that is purged several times counts as committed if any of its purges was committed.
     let mut by_object: BTreeMap<&str, Vec<&PurgeRequest>> = BTreeMap::new();
     record
         .purges
--- a/rehearse/src/rules/mod.rs
+++ b/rehearse/src/rules/mod.rs
@@ -18,9 +18,9 @@
 pub struct Breach {
     /// The name of the rule in `RULES`.
     pub rule: &'static str,
-    /// The id of the request, if the breach belongs to one.
+    /// The id of the request, if the breach belongs to a particular request.
     pub request: Option<String>,
-    /// The uid of the cache, if the breach concerns one.
+    /// The uid of the cache, if the breach concerns a particular cache.
     pub target: Option<String>,
     /// The time of the breach.
     pub at: Micros,
--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -1,4 +1,4 @@
-//! Host of the hollow members of this process, which one loop drives on real time.
+//! Host of the hollow members of this process. A single loop runs all members on real time.
 //!
 //! Datagrams to daemons are sent over sockets and counted. Datagrams between hollow members are encoded and decoded as
 //! usual but delivered within the process, because sending them would cost system time without involving a daemon.
@@ -368,7 +368,7 @@
     })
 }
 
-/// Returns the introductions of the hollow members by index, with empty ones for the daemons.
+/// Returns the encoded introductions of all members by index. The entries of the daemons are empty.
 fn introductions(config: &FleetConfig, daemons: usize, now: Micros) -> Vec<Vec<u8>> {
     let introduction = |index: usize| match index < daemons {
         true => Vec::new(),
--- a/rehearse/src/scale/daemons/mod.rs
+++ b/rehearse/src/scale/daemons/mod.rs
@@ -4,7 +4,7 @@
 //! The hollow members run in this process and exchange datagrams with the daemons over sockets. Processor time and
 //! memory are read from the operating system for each daemon process. Bytes are counted for datagrams between daemons
 //! and hollow members, with 28 bytes of headers each. Traffic between two daemons is not observed; it is estimated by
-//! treating each other daemon as one more hollow member.
+//! treating each of the other daemons as an additional hollow member.
 
 pub mod acks;
 pub mod command;
--- a/rehearse/src/scale/daemons/real.rs
+++ b/rehearse/src/scale/daemons/real.rs
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Returns the budgets that a daemon derives from its files, so that hollow members share the same ones.
+    /// Returns the budgets that a daemon derives from its files, so that the hollow members can use the same budgets.
     ///
     /// # Errors
     /// Returns an error if a daemon would reject its files.
--- a/rehearse/src/scale/delivery.rs
+++ b/rehearse/src/scale/delivery.rs
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Resets the purges in force at a restarted member to those on its disk.
+    /// Replaces the purges recorded as in force at a restarted member by the purges on the member's disk.
     pub fn record_restart(&mut self, member: MemberIndex, on_disk: impl Iterator<Item = u64>) {
         self.records
             .iter_mut()
--- a/rehearse/src/scale/fault.rs
+++ b/rehearse/src/scale/fault.rs
@@ -105,7 +105,7 @@
     pub action: Action,
 }
 
-/// Interval of virtual time, for example the one in which purges are issued and figures are measured.
+/// Interval of virtual time, for example the interval in which purges are issued and figures are measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Window {
     /// Start of the interval.
--- a/rehearse/src/scale/fleet_config.rs
+++ b/rehearse/src/scale/fleet_config.rs
@@ -153,7 +153,7 @@
         self.budgets.iter().map(|budget| budget.spec).collect()
     }
 
-    /// Returns the options of the budget protocol, with the longest settling time of all budgets.
+    /// Returns the options of the budget protocol. The settling time is the longest of all budgets.
     pub fn budget_options(&self) -> BudgetOptions {
         let settling_us = self
             .budgets
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -1,8 +1,9 @@
 //! Hollow members: simulated proxies that run the daemon's sans-IO protocol code with a simulated disk, but without
 //! clients and sockets.
 //!
-//! Its host passes it received datagrams (`receive`), timer events (`tick`, at the time `due`) and purges, and sends
-//! its outgoing datagrams (`take_outgoing`). The host may run on virtual time or on real sockets.
+//! The host of a member passes received datagrams (`receive`), timer events (`tick`, at the time `due`) and purges to
+//! the member, and sends the member's outgoing datagrams (`take_outgoing`). The host may run on virtual time or on real
+//! sockets.
 
 mod budget_share;
 mod disk;
--- a/rehearse/src/scale/report/member_figures.rs
+++ b/rehearse/src/scale/report/member_figures.rs
@@ -32,7 +32,7 @@
 }
 
 impl MeterFigure {
-    /// Creates a figure without a limit that is equal in all runs of one seed.
+    /// Creates a figure that has no limit and has the same value in all runs with the same seed.
     fn new(name: &'static str, unit: &'static str, seconds: f64, of: fn(&Meter) -> f64) -> Self {
         MeterFigure {
             name,
@@ -101,7 +101,7 @@
     ]
 }
 
-/// Returns the figures during and after the fault, or none if the fault has no fixed interval.
+/// Returns the figures during and after the fault, or an empty list if the fault has no fixed interval.
 fn fault_figures(outcome: &Outcome, run: &Run) -> Vec<MeterFigure> {
     let Some(fault) = duration(run.fault, &run.target, outcome.window) else {
         return Vec::new();
--- a/rehearse/src/scale/report/mod.rs
+++ b/rehearse/src/scale/report/mod.rs
@@ -101,7 +101,8 @@
     pub value: Value,
     /// Upper limit of the figure.
     pub limit: Option<f64>,
-    /// Whether the figure depends on the clock or the operating system and so differs between runs of one seed.
+    /// Whether the figure depends on the clock or the operating system, and therefore differs between runs with the
+    /// same seed.
     pub is_volatile: bool,
 }
 
@@ -255,7 +256,7 @@
         }
     }
 
-    /// Formats the report as a table; `is_stable` omits everything that differs between two runs of one seed.
+    /// Formats the report as a table. `is_stable` omits everything that differs between runs with the same seed.
     pub fn table(&self, is_stable: bool) -> String {
         let mut out = self.head(is_stable);
         out += "| role | figure | unit | median | p99 | most | limit | |\n";
--- a/rehearse/src/scale/simulation/faults.rs
+++ b/rehearse/src/scale/simulation/faults.rs
@@ -6,7 +6,7 @@
 use crate::scale::layout::MemberIndex;
 use linnetknot_simnet::Micros;
 
-/// Share of its requests that a proxy still lets through to a slow origin.
+/// Share of requests that a proxy still sends to a slow origin.
 const LATE_ORIGIN_REQUEST_SHARE: f64 = 0.3;
 
 impl Simulation<'_> {
--- a/rehearse/src/scale/verdict.rs
+++ b/rehearse/src/scale/verdict.rs
@@ -14,7 +14,7 @@
     PurgeHasRoom,
     /// Each purge is committed unless its writer crashed.
     PurgeCommitted,
-    /// Connected members have the same logs after the settling time.
+    /// Connected members have the same logs once the time allowed for convergence after the run is over.
     SameState,
     /// The sum of all members' leases never exceeds a budget's limit.
     BudgetLimit,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Number of violations of a rule and the first one.
+/// Number of violations of a rule, and a description of the first violation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
     /// Number of violations.
@@ -51,7 +51,7 @@
 }
 
 impl Verdict {
-    /// Records a violation; `example` is called only for the first one of a rule.
+    /// Records a violation. `example` is called only for the first violation of each rule.
     pub fn add(&mut self, rule: Rule, example: impl FnOnce() -> String) {
         let violation = self.violations.entry(rule);
         violation
--- a/rehearse/tests/fake_site.rs
+++ b/rehearse/tests/fake_site.rs
@@ -127,7 +127,7 @@
         (memory.get((4, 0), 0, 0), memory.get((2, 0), 0, 0)),
         (None, Some(10))
     );
-    // A copy is replaced only by a newer one, and is not returned if it is too old.
+    // A copy is replaced only by a newer copy, and is not returned if it is older than requested.
     assert!(!memory.insert((2, 0), 7, 40, 9, 3) && memory.insert((2, 0), 7, 30, 20, 3));
     assert_eq!(
         (
@@ -245,7 +245,7 @@
         answers(site.advance(405 * MS)),
         answer("3", "200", "pulled")
     );
-    // A second request joins the fill, and a later one is filled from the sibling.
+    // A second request joins the fill, and a later request is filled from the sibling.
     site.fetch(500 * MS, "b", fetch("4", 8, Some("hub")));
     site.advance(510 * MS);
     site.fetch(510 * MS, "b", fetch("5", 8, Some("hub")));
--- a/rehearse/tests/load.rs
+++ b/rehearse/tests/load.rs
@@ -62,7 +62,7 @@
     let top = count_within(28, 44) / 16.0;
     assert!((170.0..250.0).contains(&top), "{top} a second");
     assert!(count_within(0, 8) / 8.0 < 0.65 * top);
-    // Each part of a video follows the previous one after a gap.
+    // Each part of a video follows the previous part after a gap.
     let mut behind: BTreeMap<(u64, u32, u64), Vec<u64>> = BTreeMap::new();
     for a in of_class(&plan, 0) {
         behind
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Tests of the rules, the score and the waits on records made by hand.
+//! Tests of the rules, the score and the waiting times, on records that the tests construct.
 
 use linnetknot_rehearse::latency::{waits, Waits};
 use linnetknot_rehearse::record::*;
@@ -319,7 +319,8 @@
 #[test]
 fn score_is_weight_answered_in_time_over_weight_offered() {
     let out = score(&valid_record());
-    // a is in time; b is late and earns a fifth; c is served by its retry and late; d failed.
+    // Request a is answered within its objective. b is late and earns a fifth of its weight. c is served late by its
+    // retry. d failed.
     let earned = 1.0 + 3.0 * 0.2 + 0.2;
     assert!(
         (out.total.offered - 8.0).abs() < 1e-9 && (out.total.earned - earned).abs() < 1e-9,
--- a/rehearse/tests/rules_commits.rs
+++ b/rehearse/tests/rules_commits.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Returns a record of a committed purge, a rejected one, and one whose proxy crashed.
+/// Returns a record with three purges: committed, rejected, and sent to a proxy that crashed before it answered.
 fn valid_record() -> CommitRecord {
     let excused = PurgeRequest {
         excused: true,
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -443,7 +443,7 @@
     }
 }
 
-/// The built-in target with one replacement.
+/// Returns the built-in target with a single text replaced.
 fn altered_target(from: &str, to: &str) -> String {
     let text = include_str!("../targets/fleet.json");
     assert!(text.contains(from));
