--- a/rehearse/src/fakes/site/mod.rs
+++ b/rehearse/src/fakes/site/mod.rs
@@ -1,5 +1,6 @@
-//! A fake site of caches, parent caches and the origin, with slots, queues, shared links, stored copies, fills, slow starts and
-//! crashes under load. It does no I/O: requests go in with their time, and answers come out with theirs.
+//! A fake site of caches, parent caches and the origin, with slots, queues, shared links, stored copies, fills, slow
+//! starts and crashes under load. It does no I/O: the caller passes requests with their arrival times and receives
+//! answers with their sending times.
 //!
 //! It does not model the sizes of answers on the wire, noise in load reports, or the outgoing link of a parent cache during
 //! fills.
@@ -17,7 +18,8 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use timers::Timer;
 
-/// The time for which a node remembers a purge to reject older copies from fills. No fill takes longer.
+/// The time for which a node remembers a purge, in order to reject older copies from fills. It exceeds the duration of
+/// any fill.
 const PURGE_RETENTION_US: Micros = 600_000_000;
 
 #[derive(Clone, Debug, PartialEq)]
--- a/rehearse/src/scale/network.rs
+++ b/rehearse/src/scale/network.rs
@@ -63,7 +63,7 @@
         until.is_some_and(|until| *until > since)
     }
 
-    /// Returns the arrival times of a datagram sent now: none if it is lost, several if it is duplicated.
+    /// Returns the arrival times of a datagram sent now: none if the datagram is lost, two if it is duplicated.
     pub fn send(&mut self, from: MemberIndex, to: MemberIndex, now: Micros) -> Arrivals {
         if self.was_cut_since(from, to, now) {
             return Arrivals::default();
