--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -1,4 +1,4 @@
-//! Host of the hollow members of this process, which one loop drives on real time.
+//! Host of the hollow members of this process. A single loop runs all members on real time.
 //!
 //! Datagrams to daemons are sent over sockets and counted. Datagrams between hollow members are encoded and decoded as
 //! usual but delivered within the process, because sending them would cost system time without involving a daemon.
@@ -65,7 +65,7 @@
 }
 
 impl HollowHost {
-    /// Starts the hollow members of a fleet, with membership views that contain each other.
+    /// Starts the hollow members of a fleet. Each member's membership view already contains all other hollow members.
     pub fn start(
         config: Arc<FleetConfig>,
         sockets: MemberSockets,
@@ -359,7 +359,7 @@
     }
 }
 
-/// Returns the index of this writer's entry among the datagrams to the first daemon.
+/// Returns the log index of the writer's own entry, taken from the datagrams addressed to the first daemon.
 fn own_entry(outgoing: &[Outgoing], writer_id: Writer) -> Option<Index> {
     let mut to_first = outgoing.iter().filter(|outgoing| outgoing.to == 0);
     to_first.find_map(|outgoing| match Datagram::decode(&outgoing.bytes) {
@@ -368,7 +368,7 @@
     })
 }
 
-/// Returns the introductions of the hollow members by index, with empty ones for the daemons.
+/// Returns the encoded introductions of all members by index. The entries of the daemons are empty.
 fn introductions(config: &FleetConfig, daemons: usize, now: Micros) -> Vec<Vec<u8>> {
     let introduction = |index: usize| match index < daemons {
         true => Vec::new(),
--- a/rehearse/src/scale/fault.rs
+++ b/rehearse/src/scale/fault.rs
@@ -105,7 +105,7 @@
     pub action: Action,
 }
 
-/// Interval of virtual time, for example the one in which purges are issued and figures are measured.
+/// Interval of virtual time, for example the interval in which purges are issued and figures are measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Window {
     /// Start of the interval.
@@ -228,7 +228,7 @@
     times.map(late).collect()
 }
 
-/// Stops members and starts them again after `away`.
+/// Schedules the graceful stop of members and their start after the duration `away`.
 fn restart(members: Vec<MemberIndex>, at: Micros, away: Micros) -> [ScheduledAction; 2] {
     let stop = Action::Stop {
         members: members.clone(),
