--- a/harness/src/links/mod.rs
+++ b/harness/src/links/mod.rs
@@ -97,7 +97,7 @@
         let counted = state.clone();
         threads.push(thread::spawn(move || {
             deliver(&due, |direction: Direction, bytes: &[u8]| {
-                // Sent from the socket that the receiver knows as the sender's address.
+                // Sent from the socket whose address the receiver uses for the sender.
                 let (from, to) = direction;
                 if sockets[&(to, from)].send_to(bytes, proxies[to]).is_ok() {
                     lock(&counted).counters.entry(direction).or_default().came += 1;
--- a/harness/src/process.rs
+++ b/harness/src/process.rs
@@ -59,7 +59,7 @@
         Self::start_with_fail_points(program, folder, name, (config, own), "")
     }
 
-    /// Like `start`, with fail points enabled. A daemon built without the feature `points` ignores them.
+    /// Like `start`, with fail points enabled. They have no effect on a daemon built without the feature `points`.
     pub fn start_with_fail_points(
         program: &Path,
         folder: &Path,
--- a/rehearse/examples/upgrade/side_by_side.rs
+++ b/rehearse/examples/upgrade/side_by_side.rs
@@ -20,7 +20,7 @@
 const TRIGGERS: usize = 8;
 /// The number of purges that each proxy stores exactly. More are sent, so that a proxy that was down gets a snapshot.
 const EXACT_PURGES: usize = 32;
-/// The budget of the origin.
+/// The maximum number of concurrent requests of the whole fleet to the origin.
 const LIMIT: u64 = 24;
 const RESERVED: u64 = 2;
 /// The number of clients of each proxy that load the budget.
--- a/rehearse/src/bin/linnetknot-rehearse/error.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/error.rs
@@ -30,7 +30,7 @@
     /// The progress bar's template is invalid.
     #[error(transparent)]
     ProgressBar(#[from] indicatif::style::TemplateError),
-    /// The play failed, for example as the daemon could not be started.
+    /// The test run failed, for example because the daemon could not be started.
     #[error("could not be played with {}: {error}", daemon.display())]
     Play { daemon: PathBuf, error: io::Error },
     /// A result can't be represented in JSON.
--- a/rehearse/src/bin/linnetknot-rehearse/output.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/output.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, LazyLock};
 
-/// Set at Ctrl-C. The running play ends, its report is still written, and no other play starts.
+/// Set at Ctrl-C. The running test run ends, its report is still written, and no other test run starts.
 pub(crate) static STOP: LazyLock<Arc<AtomicBool>> = LazyLock::new(Arc::default);
 
 /// Returns whether the user has interrupted the program.
@@ -12,7 +12,7 @@
     STOP.load(Ordering::Relaxed)
 }
 
-/// Prints a text and ignores a closed standard output.
+/// Prints a text. Errors, such as a closed standard output, are discarded.
 pub(crate) fn print(text: &str) {
     let _ = std::io::stdout().lock().write_all(text.as_bytes());
 }
--- a/rehearse/src/bin/linnetknot-rehearse/scenarios.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/scenarios.rs
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The maximum number of breaches of one play that a series prints.
+/// The maximum number of breaches of one test run that a series prints.
 const MAX_SHOWN_BREACHES: usize = 5;
 
 /// Reads a scenario file.
@@ -128,7 +128,7 @@
     file.with_file_name(format!("{stem}-{}{extension}", scenario.to_string_lossy()))
 }
 
-/// Plays a scenario file.
+/// Runs a scenario file.
 pub(crate) fn play_file(arguments: PlayArguments) -> ExitCode {
     let daemon = daemon_path(arguments.daemon);
     let played = read(&arguments.file).and_then(|scenario| {
@@ -142,7 +142,7 @@
     ExitCode::from(status(played))
 }
 
-/// Returns the exit status of a play and prints its error, if any.
+/// Returns the exit status of a test run and prints its error, if any.
 fn status(played: Result<Verdict, CommandError>) -> u8 {
     match played {
         Err(error) => {
@@ -150,7 +150,7 @@
             NOT_PLAYED
         }
         Ok(verdict) => {
-            // Breaches before an interruption count. Without any, an interrupted play is inconclusive.
+            // Breaches before an interruption count. Without any, an interrupted test run is inconclusive.
             if let Verdict::Inconclusive(reason) = &verdict {
                 eprintln!("the rehearsal is inconclusive: {reason}");
             }
@@ -159,7 +159,7 @@
     }
 }
 
-/// Plays a scenario, prints its outcome and writes it to a file if one is given.
+/// Runs a scenario, prints its outcome and writes it to a file if one is given.
 fn play(
     scenario: &Scenario,
     seed: u64,
@@ -178,7 +178,7 @@
     Ok(Verdict::of(&outcome))
 }
 
-/// Plays a scenario with a progress bar, which is shown only on a terminal.
+/// Runs a scenario with a progress bar, which is shown only on a terminal.
 fn play_with_progress(
     scenario: &Scenario,
     seed: u64,
--- a/rehearse/src/fakes/site/fills.rs
+++ b/rehearse/src/fakes/site/fills.rs
@@ -11,7 +11,7 @@
     wait_us: Micros,
     /// How the copy was obtained, as in the protocol's field `how`.
     how: &'static str,
-    /// The time of the copy.
+    /// The time at which the copy was created; its age and its validity after purges are computed from it.
     made: Micros,
 }
 
--- a/rehearse/src/fault_matrix/matrix.rs
+++ b/rehearse/src/fault_matrix/matrix.rs
@@ -22,7 +22,7 @@
 }
 
 impl Row {
-    /// Adds the result of a play.
+    /// Adds the result of a test run.
     fn add(&mut self, played: &PlayResult) {
         self.plays += 1;
         for purge in &played.record.purges {
@@ -106,16 +106,16 @@
     }
 }
 
-/// The results of all plays by fault point and disk.
+/// The results of all test runs by fault point and disk.
 #[derive(Clone, Debug, Default)]
 pub struct Matrix {
     rows: BTreeMap<(usize, bool), Row>,
-    /// The reasons for inconclusive plays, and each breach with its case.
+    /// The reasons for inconclusive test runs, and each breach with its case.
     pub notes: Vec<String>,
 }
 
 impl Matrix {
-    /// Adds the result of a play.
+    /// Adds the result of a test run.
     pub fn add(&mut self, case: Case, played: io::Result<PlayResult>) {
         let row = self
             .rows
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Returns the exit status: 0 if all plays passed, 1 if a rule was broken or a fleet did not converge, 2 if plays were
-    /// inconclusive.
+    /// Returns the exit status: 0 if all test runs passed, 1 if a rule was broken or a fleet did not converge, 2 if test
+    /// runs were inconclusive.
     pub fn status(&self) -> u8 {
         let broken = self
             .rows
--- a/rehearse/src/fault_matrix/mod.rs
+++ b/rehearse/src/fault_matrix/mod.rs
@@ -18,7 +18,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// The number of proxies in a play.
+/// The number of proxies in a test run.
 const PROXIES: usize = 3;
 /// The time limit for all proxies to converge.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(20);
@@ -29,7 +29,7 @@
 /// The allowance for the delay of the kit, whose threads share the cores with the daemons.
 const TOLERANCE_US: u64 = 500_000;
 
-/// The parameters of a play.
+/// The parameters of a test run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Case {
     /// The fault point, by its index in `FAULT_POINTS`.
@@ -54,10 +54,10 @@
     (0..plays).map(case).collect()
 }
 
-/// The result of a play.
+/// The result of a test run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlayResult {
-    /// The record of the play.
+    /// The record of the test run.
     pub record: CommitRecord,
     /// The breaches of rules.
     pub breaches: Vec<Breach>,
@@ -73,7 +73,7 @@
 }
 
 impl Play {
-    /// Starts the proxies.
+    /// Starts the proxies as a fleet with the given setup.
     fn start(setup: Setup<'_>) -> io::Result<Self> {
         Ok(Play {
             fleet: Fleet::with(setup)?,
@@ -117,7 +117,7 @@
         answer
     }
 
-    /// Waits for a condition. Returns whether it was met in time.
+    /// Waits for a condition. Returns whether it was met within the time limit.
     fn wait_until(&self, timeout: Duration, condition: impl Fn(&Fleet) -> bool) -> bool {
         poll_until(timeout, || condition(&self.fleet))
     }
@@ -137,7 +137,7 @@
     }
 }
 
-/// Returns the link conditions of a play: perfect, lossy or slow.
+/// Returns the link conditions of a test run: perfect, lossy or slow.
 fn conditions(seed: u64) -> LinkConditions {
     match seed % 3 {
         0 => LinkConditions::default(),
@@ -203,7 +203,7 @@
     })
 }
 
-/// The roles of the proxies in a play, with its conditions.
+/// The roles of the proxies in a test run, with its conditions.
 struct Roles {
     /// The proxy that receives the purge.
     writer: usize,
--- a/rehearse/src/fault_matrix/points.rs
+++ b/rehearse/src/fault_matrix/points.rs
@@ -38,7 +38,7 @@
 pub struct FaultPointEntry {
     /// The fault point.
     pub point: FaultPoint,
-    /// Its name in tables.
+    /// The name of the fault point in printed tables.
     pub name: &'static str,
     /// The daemon's fail point, or empty if the fault comes from outside.
     pub fail_points: &'static str,
@@ -113,7 +113,7 @@
 /// A defect that can be injected in the daemons to check that the rules detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Defect {
-    /// Its name on the command line.
+    /// The name of the defect on the command line.
     pub name: &'static str,
     /// The daemon's fail point.
     pub fail_points: &'static str,
--- a/rehearse/src/latency.rs
+++ b/rehearse/src/latency.rs
@@ -19,13 +19,13 @@
     pub served: u64,
     /// The median wait of served requests.
     pub p50: Micros,
-    /// The 90th percentile.
+    /// The 90th percentile of the waits of served requests.
     pub p90: Micros,
-    /// The 99th percentile.
+    /// The 99th percentile of these waits.
     pub p99: Micros,
-    /// The 99.9th percentile.
+    /// The 99.9th percentile of these waits.
     pub p999: Micros,
-    /// The longest wait.
+    /// The longest wait of a served request.
     pub max: Micros,
 }
 
--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -1,4 +1,4 @@
-//! A rehearsal kit: plays faults, purges and drains against real daemons on loopback, with fakes of the cache servers, the
+//! A rehearsal kit: runs faults, purges and drains against real daemons on loopback, with fakes of the cache servers, the
 //! event bus and a peer CDN, and reports each breach of the rules.
 
 pub mod fakes;
@@ -33,7 +33,7 @@
 /// The result of the built-in rehearsal.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// A description of each case that was played.
+    /// A description of each case that was run.
     pub cases: Vec<String>,
     /// The breaches of rules.
     pub breaches: Vec<Breach>,
--- a/rehearse/src/play/mod.rs
+++ b/rehearse/src/play/mod.rs
@@ -57,7 +57,7 @@
     process
 }
 
-/// Plays all cases against a daemon and reports each breach. An error means that the play itself failed.
+/// Runs all cases against a daemon and reports each breach. An error means that the test run itself failed.
 pub fn rehearse(daemon: &Path, defect: Option<RehearsalDefect>) -> io::Result<Report> {
     let mut report = Report::default();
     let caches = [
@@ -104,7 +104,8 @@
     call(to, "GET", &format!("/content/photo/{object}/0?kb=40"), "")
 }
 
-/// Purges an object through the peer CDN and checks that neither front serves an older copy after the grace period.
+/// Purges an object through the peer CDN and checks that neither listener (FastCGI or CDNI) serves
+/// an older copy after the grace period.
 fn purge(running: &Process, caches: &[FakeCache], report: &mut Report) -> io::Result<()> {
     let warm = content(running.cdni, OBJECT)?;
     report.check("one answer", warm.status == 200, || {
--- a/rehearse/src/player/environment.rs
+++ b/rehearse/src/player/environment.rs
@@ -1,4 +1,4 @@
-//! The environment of the proxies in a play: the fake nodes and the event buses that announce them.
+//! The environment of the proxies in a test run: the fake nodes and the event buses that announce them.
 
 use super::deployment::{cold_start, freshness_us, parameters, settings, Deployment, Node};
 use super::PlayDefect;
@@ -13,7 +13,7 @@
 use serde_json::{json, Value};
 use std::io;
 
-/// The nodes and buses of a play, with the recorded notices and cold starts.
+/// The nodes and buses of a test run, with the recorded notices and cold starts.
 pub(super) struct Environment<'a> {
     scenario: &'a Scenario,
     defect: Option<PlayDefect>,
--- a/rehearse/src/player/load_generator.rs
+++ b/rehearse/src/player/load_generator.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Plays a schedule to its end. Returns the seconds after which the play was interrupted, or `None` if it was not.
+    /// Runs a schedule to its end. Returns the seconds after which the test run was interrupted, or `None` if it was not.
     pub(super) fn play(
         &mut self,
         mut schedule: Schedule<'_>,
@@ -177,7 +177,7 @@
         self.sent
     }
 
-    /// Takes restarted proxies back into use. Ends the play with an error if a proxy could not be restarted.
+    /// Takes restarted proxies back into use. Ends the test run with an error if a proxy could not be restarted.
     fn take_restarted(&mut self) -> io::Result<()> {
         while let Some(proxy) = self.proxies.take_restarted()? {
             self.connections[proxy].clear();
--- a/rehearse/src/player/mod.rs
+++ b/rehearse/src/player/mod.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario against real daemons and a fake site, and checks the record against the rules.
+//! Runs a scenario against real daemons and a fake site, and checks the record against the rules.
 
 mod clients;
 mod deployment;
@@ -107,17 +107,17 @@
     KilledRequestsDue,
 }
 
-/// Stops a play early and observes its progress.
+/// Stops a test run early and observes its progress.
 #[derive(Clone, Copy, Default)]
 pub struct PlayControl<'a> {
-    /// Set to end the play at once, for example by a SIGINT handler. Requests that are still open then need no answer,
+    /// Set to end the test run at once, for example by a SIGINT handler. Requests that are still open then need no answer,
     /// and the outcome covers the events until that time.
     pub stop: Option<&'a AtomicBool>,
     /// Called about ten times a second with the seconds since the start of the load and the number of requests sent.
     pub progress: Option<&'a dyn Fn(f64, usize)>,
 }
 
-/// Plays a scenario with this daemon executable. An error means that the scenario could not be played; breaches of
+/// Runs a scenario with this daemon executable. An error means that the scenario could not be run; breaches of
 /// rules are part of the outcome.
 pub fn play(
     daemon: &Path,
@@ -128,7 +128,7 @@
     play_with_control(daemon, scenario, seed, defect, PlayControl::default())
 }
 
-/// Plays a scenario as `play` does, under a `PlayControl`.
+/// Runs a scenario as `play` does, under a `PlayControl`.
 pub fn play_with_control(
     daemon: &Path,
     scenario: &Scenario,
@@ -147,7 +147,7 @@
     play_in_own_folder(daemon, scenario, &play)
 }
 
-/// Plays a scenario as `play` does, with fail points set in each daemon through `LINNETKNOT_POINTS`.
+/// Runs a scenario as `play` does, with fail points set in each daemon through `LINNETKNOT_POINTS`.
 pub fn play_with_fail_points(
     daemon: &Path,
     scenario: &Scenario,
@@ -166,7 +166,7 @@
 }
 
 fn play_in_own_folder(daemon: &Path, scenario: &Scenario, play: &Play<'_>) -> io::Result<Outcome> {
-    // Several plays with the same seed may run in parallel in a process, so each folder's name contains a unique
+    // Several test runs with the same seed may run in parallel in a process, so each folder's name contains a unique
     // number.
     static PLAYS: AtomicU64 = AtomicU64::new(0);
     let n = PLAYS.fetch_add(1, Ordering::Relaxed);
@@ -178,7 +178,7 @@
     result
 }
 
-/// The parameters of a play.
+/// The parameters of a test run.
 struct Play<'a> {
     plan: &'a Plan,
     seed: u64,
@@ -188,7 +188,7 @@
     fail_points: &'a str,
 }
 
-/// Plays a scenario, with its files in the given folder, and checks the record.
+/// Runs a scenario, with its files in the given folder, and checks the record.
 fn play_in(
     folder: &Path,
     daemon: &Path,
--- a/rehearse/src/player/proxies.rs
+++ b/rehearse/src/player/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies' processes, which the timetable of a play starts, stops, kills and restarts.
+//! The proxies' processes, which the timetable of a test run starts, stops, kills and restarts.
 
 use super::environment::Environment;
 use crate::scenario::Scenario;
--- a/rehearse/src/player/schedule.rs
+++ b/rehearse/src/player/schedule.rs
@@ -7,11 +7,11 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// The remaining arrivals, purges and steps of a play, each in order of time.
+/// The remaining arrivals, purges and steps of a test run, each in order of time.
 pub(super) struct Schedule<'a> {
-    /// The time at which the play starts.
+    /// The time at which the test run starts.
     pub(super) start: Micros,
-    /// The time at which the play ends.
+    /// The time at which the test run ends.
     pub(super) end: Micros,
     arrivals: &'a [Arrival],
     purges: &'a [Purge],
--- a/rehearse/src/record.rs
+++ b/rehearse/src/record.rs
@@ -7,11 +7,11 @@
 /// The number of times that a request may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// Any number of times.
+    /// The request may be attempted any number of times.
     Safe,
     /// Once for each idempotency key. Repeats within this many microseconds are dropped.
     Keyed(Micros),
-    /// At most once.
+    /// The request may be executed at most once.
     Unsafe,
 }
 
@@ -88,7 +88,7 @@
     pub id: String,
     /// The time at which the client had read the whole answer.
     pub at: Micros,
-    /// The answer.
+    /// The final answer that the client received.
     pub answer: FinalAnswer,
 }
 
@@ -135,11 +135,11 @@
     OutOfService(String),
     /// An object was purged, or a group if there is no object.
     Purged {
-        /// The object.
+        /// The purged object, or `None` if the whole group was purged.
         object: Option<String>,
-        /// The group.
+        /// The purged group, or the group of the purged object.
         group: u64,
-        /// The time of the purge.
+        /// The time at which the purge was issued.
         at: Micros,
     },
 }
@@ -149,9 +149,9 @@
 pub struct Notice {
     /// The index of the proxy.
     pub proxy: usize,
-    /// The time of the notice.
+    /// The time at which the notice was sent.
     pub at: Micros,
-    /// The event.
+    /// The event that the proxy is notified of.
     pub kind: NoticeKind,
 }
 
--- a/rehearse/src/rules/commits.rs
+++ b/rehearse/src/rules/commits.rs
@@ -62,7 +62,7 @@
     pub replaced: bool,
 }
 
-/// The state of a proxy at the end of a play.
+/// The state of a proxy at the end of a test run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinalState {
     /// The index of the proxy.
@@ -75,7 +75,7 @@
     pub under_replicated: usize,
 }
 
-/// The record of a play.
+/// The record of a test run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CommitRecord {
     /// All requested purges, in the order in which they were sent.
--- a/rehearse/src/scale/report/mod.rs
+++ b/rehearse/src/scale/report/mod.rs
@@ -43,11 +43,11 @@
 /// Median, 99th percentile and maximum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
-    /// Median.
+    /// Median of the values.
     pub median: f64,
-    /// 99th percentile.
+    /// 99th percentile of the values.
     pub p99: f64,
-    /// Maximum.
+    /// Largest of the values.
     pub most: f64,
 }
 
--- a/rehearse/src/scale/simulation/mod.rs
+++ b/rehearse/src/scale/simulation/mod.rs
@@ -191,7 +191,7 @@
         }
     }
 
-    // ---- Schedule ----
+    // Start of the fleet, and the timers and events that are scheduled for it.
 
     /// Starts all members with complete membership views, as in a fleet that has been running for a long time.
     fn start_fleet(&mut self) {
--- a/rehearse/src/series.rs
+++ b/rehearse/src/series.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use thiserror::Error;
 
-/// The maximum number of plays in a series, which guards against a mistyped range.
+/// The maximum number of test runs in a series, which guards against a mistyped range.
 const MAX_PLAYS: u64 = 10_000;
 
 /// An inclusive range of seeds.
@@ -26,17 +26,17 @@
     /// The last seed is smaller than the first.
     #[error("{first}..{last} holds no seed")]
     Empty {
-        /// The first.
+        /// The first seed of the range.
         first: u64,
-        /// The last.
+        /// The last seed of the range, inclusive.
         last: u64,
     },
-    /// The range exceeds the maximum number of plays.
+    /// The range exceeds the maximum number of test runs.
     #[error("{first}..{last} is more than {MAX_PLAYS} plays")]
     TooMany {
-        /// The first.
+        /// The first seed of the range.
         first: u64,
-        /// The last.
+        /// The last seed of the range, inclusive.
         last: u64,
     },
 }
@@ -65,17 +65,17 @@
     }
 }
 
-/// The verdict on one play.
+/// The verdict on one test run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// The play was conclusive.
+    /// The test run was conclusive.
     Played {
         /// The number of breaches by rule.
         broken: BTreeMap<&'static str, usize>,
-        /// The score, from 0 to 1.
+        /// The share of the offered weight that was earned by answers, from 0 to 1.
         score: f64,
     },
-    /// The play was inconclusive, for this reason.
+    /// The test run was inconclusive, for this reason.
     Inconclusive(String),
 }
 
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Returns the exit status: 0 if no rule was broken, 1 if one was, 2 if the play was inconclusive.
+    /// Returns the exit status: 0 if no rule was broken, 1 if one was, 2 if the test run was inconclusive.
     pub fn status(&self) -> u8 {
         match self {
             Verdict::Played { broken, .. } => u8::from(!broken.is_empty()),
@@ -141,7 +141,7 @@
 pub struct Summary(pub Vec<(String, Verdicts)>);
 
 impl Summary {
-    /// Returns the worst exit status of all plays, or 2 if there are none.
+    /// Returns the worst exit status of all test runs, or 2 if there are none.
     pub fn status(&self) -> u8 {
         let all = self.0.iter().flat_map(|(_, v)| v.values());
         all.map(Verdict::status).max().unwrap_or(2)
--- a/rehearse/src/shipped.rs
+++ b/rehearse/src/shipped.rs
@@ -33,7 +33,7 @@
         .map(|(_, text)| Scenario::read(text))
 }
 
-/// Replaces `all` by the names of all shipped scenarios. Other names are returned unchanged.
+/// Replaces `all` with the names of all shipped scenarios. Other names are returned unchanged.
 pub fn expand_names(names: &[String]) -> Vec<String> {
     let all = || SHIPPED.iter().map(|(n, _)| (*n).to_owned());
     names
