--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -40,7 +40,7 @@
 /// Epoch of the logs of all writers.
 const EPOCH: u64 = 1;
 
-/// The parts of a daemon under test.
+/// The ledger and the decision module of a daemon, run without network connections.
 struct Process {
     ledger: Ledger,
     core: Core,
--- a/harness/src/clients.rs
+++ b/harness/src/clients.rs
@@ -18,7 +18,7 @@
     io::Error::new(io::ErrorKind::InvalidData, message.to_owned())
 }
 
-/// The response to a request.
+/// The response of a proxy to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
     /// HTTP status code.
@@ -99,7 +99,7 @@
         self.socket.try_clone()
     }
 
-    /// Sends raw bytes.
+    /// Sends bytes unchanged, so that a test can send invalid records.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.socket.write_all(bytes)
     }
@@ -194,7 +194,7 @@
     })
 }
 
-/// A complete HTTP message.
+/// An HTTP message that was read up to its end.
 struct Received {
     head: Head,
     body: Vec<u8>,
@@ -299,9 +299,9 @@
 /// A request received by the HTTP interface of a peer CDN.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerRequest {
-    /// Request target.
+    /// Request target: the path and the query.
     pub target: String,
-    /// Body.
+    /// Body of the request.
     pub body: String,
 }
 
--- a/harness/src/fakes/cache.rs
+++ b/harness/src/fakes/cache.rs
@@ -35,9 +35,9 @@
     pub command: String,
     /// Id of the request.
     pub id: String,
-    /// Fields, encoded.
+    /// Fields of the command, as encoded by the proxy.
     pub fields: String,
-    /// Body.
+    /// Body of the command.
     pub body: Vec<u8>,
 }
 
@@ -260,7 +260,7 @@
 
 /// The copy that a fetch is answered with.
 struct CachedCopy {
-    /// Object and part.
+    /// Object and part that the copy contains.
     name: String,
     /// Time at which the origin made the copy, in Unix milliseconds.
     made: u64,
--- a/harness/src/fakes/consul/mod.rs
+++ b/harness/src/fakes/consul/mod.rs
@@ -44,13 +44,13 @@
 /// A request received by the agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentRequest {
-    /// HTTP method.
+    /// HTTP method of the request.
     pub method: String,
-    /// Path and query.
+    /// Path and query of the request.
     pub target: String,
     /// Value of the `X-Consul-Token` header.
     pub token: Option<String>,
-    /// Body.
+    /// Body of the request.
     pub body: String,
 }
 
--- a/harness/src/fleet/mod.rs
+++ b/harness/src/fleet/mod.rs
@@ -28,7 +28,7 @@
 /// One proxy of a fleet.
 struct Member {
     name: String,
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     daemon: PathBuf,
     process: Option<Process>,
     /// Its own event bus, so that events can reach a single proxy.
@@ -49,9 +49,9 @@
     exact_purges: Option<usize>,
     /// Links between the proxies.
     pub links: FaultyLinks,
-    /// Shared cache servers.
+    /// Cache servers that all proxies use.
     pub caches: Vec<FakeCache>,
-    /// Shared origin.
+    /// Origin that all proxies use.
     pub origin: FakeCache,
     folder: PathBuf,
 }
--- a/harness/src/fleet/setup.rs
+++ b/harness/src/fleet/setup.rs
@@ -1,4 +1,4 @@
-//! Setup of a fleet.
+//! Options for starting a fleet of daemons in a test.
 
 use serde_json::Value;
 use std::path::Path;
@@ -15,7 +15,7 @@
 /// Setup of a fleet.
 #[derive(Clone, Debug)]
 pub struct Setup<'a> {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub daemon: &'a Path,
     /// Number of proxies that run from the start, each on its own machine.
     pub running: usize,
--- a/harness/src/links/conditions.rs
+++ b/harness/src/links/conditions.rs
@@ -42,11 +42,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 #[error("{key}: {value} is not from 0 to {max}")]
 pub struct ConditionOutOfRange {
-    /// Name of the condition.
+    /// Name of the condition whose value was rejected.
     pub key: &'static str,
     /// The rejected value.
     pub value: f64,
-    /// Largest valid value.
+    /// Largest valid value of the condition; the smallest is 0.
     pub max: f64,
 }
 
@@ -159,7 +159,7 @@
 pub enum Pass {
     /// At most this many bytes pass.
     Bytes(usize),
-    /// Nothing passes for now.
+    /// No bytes pass yet; they are kept and decided on again later.
     Nothing,
     /// The connection is reset.
     Reset,
--- a/harness/src/links/mod.rs
+++ b/harness/src/links/mod.rs
@@ -31,11 +31,11 @@
 /// Datagram counters of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams sent.
+    /// Datagrams sent in this direction.
     pub sent: u64,
     /// Datagrams delivered, including duplicates.
     pub came: u64,
-    /// Datagrams lost.
+    /// Datagrams sent in this direction but dropped.
     pub lost: u64,
 }
 
--- a/harness/src/pressure.rs
+++ b/harness/src/pressure.rs
@@ -24,11 +24,11 @@
 /// Numbers of requests by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Answers {
-    /// Answered with 200.
+    /// Number of requests answered with 200.
     pub served: u64,
-    /// Answered with 503.
+    /// Number of requests answered with 503.
     pub refused: u64,
-    /// Answered with any other status.
+    /// Number of requests answered with any other status.
     pub failed: u64,
 }
 
--- a/harness/src/settings.rs
+++ b/harness/src/settings.rs
@@ -1,4 +1,4 @@
-//! Platform settings for tests.
+//! Platform settings for tests: the request classes, server kinds and limits that the daemon is started with.
 
 use serde_json::{json, Value};
 
--- a/harness/src/span.rs
+++ b/harness/src/span.rs
@@ -1,4 +1,4 @@
-//! Time intervals.
+//! Time intervals in which requests were in flight.
 
 use crate::time::Micros;
 
--- a/rehearse/src/bin/linnetknot-rehearse/scenarios.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/scenarios.rs
@@ -41,7 +41,7 @@
     Ok(scenario.scaled(time_scale)?)
 }
 
-/// Plays one scenario of a series with one seed.
+/// Runs one scenario of a series with one seed.
 fn play_seed(
     name: &str,
     seed: u64,
--- a/rehearse/src/fakes/cache_memory.rs
+++ b/rehearse/src/fakes/cache_memory.rs
@@ -16,7 +16,7 @@
     group: u64,
 }
 
-/// A cache's memory.
+/// The copies that a fake cache stores.
 #[derive(Clone, Debug)]
 pub struct CacheMemory {
     capacity_kb: u64,
--- a/rehearse/src/fakes/shared_link.rs
+++ b/rehearse/src/fakes/shared_link.rs
@@ -4,7 +4,7 @@
 use crate::record::Micros;
 use std::collections::{BTreeMap, HashMap};
 
-/// A shared link.
+/// The outgoing link of a fake node, which all its transfers share.
 ///
 /// All transfers progress at the same rate, so a single counter, `progress_us`, grows with time, and a transfer ends when the
 /// counter has grown by its work. Each operation takes logarithmic time.
--- a/rehearse/src/fakes/site/forms.rs
+++ b/rehearse/src/fakes/site/forms.rs
@@ -64,7 +64,7 @@
     pub proxy: usize,
     /// The id of the request in the wire protocol.
     pub id: String,
-    /// The object and part.
+    /// The requested object and part.
     pub part: Part,
     /// The group of the object.
     pub group: u64,
@@ -84,7 +84,7 @@
     pub write: Option<Option<String>>,
 }
 
-/// An output of the site.
+/// An effect of the fake site that its server carries out on the connections.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SiteOutput {
     /// An answer to a request.
@@ -93,15 +93,15 @@
         connection: u64,
         /// The id of the answered request.
         id: String,
-        /// `200`, `404` or `503`.
+        /// The status of the answer: `200`, `404` or `503`.
         status: &'static str,
         /// How the copy was obtained, as in the protocol's field `how`.
         how: &'static str,
         /// The time that the request waited for the source of its fill.
         waited_us: Micros,
-        /// The time of the copy.
+        /// The time at which the copy was created.
         made: Micros,
-        /// The part.
+        /// The object and part that the answer contains.
         part: Part,
     },
     /// A node has crashed, and all its connections are reset.
--- a/rehearse/src/fakes/site/timers.rs
+++ b/rehearse/src/fakes/site/timers.rs
@@ -4,7 +4,7 @@
 use crate::fakes::cache_memory::Part;
 use crate::record::Micros;
 
-/// A timed event.
+/// An event of the fake site that is due at a set time.
 pub(super) enum Timer {
     /// The first byte of a fill arrives, with the node, the part and the number of the fill.
     FillFirstByte(String, Part, u64),
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Ends the stall of a node.
+    /// Ends the stall of a node and resets its link to its current capacity, which is lower while the node is cold.
     fn end_stall(&mut self, now: Micros, uid: &str) {
         let Some(node) = self.nodes.get_mut(uid) else {
             return;
--- a/rehearse/src/record.rs
+++ b/rehearse/src/record.rs
@@ -7,15 +7,15 @@
 /// The number of times that a request may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// The request may be attempted any number of times.
+    /// The request may take effect any number of times.
     Safe,
     /// Once for each idempotency key. Repeats within this many microseconds are dropped.
     Keyed(Micros),
-    /// The request may be executed at most once.
+    /// The request may take effect at most once.
     Unsafe,
 }
 
-/// A class of requests.
+/// A class of requests, with the properties that the rules and the score use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// The name, as in the scenario.
--- a/rehearse/src/rules/budgets.rs
+++ b/rehearse/src/rules/budgets.rs
@@ -16,7 +16,7 @@
 pub struct LimitFrom {
     /// The start of the period.
     pub from: Micros,
-    /// The limit on requests in flight.
+    /// The maximum number of requests in flight from the whole fleet.
     pub limit: u64,
 }
 
@@ -25,7 +25,7 @@
 pub struct InFlightFrom {
     /// The start of the period.
     pub from: Micros,
-    /// The number of requests.
+    /// The number of requests in flight from this time.
     pub in_flight: u64,
 }
 
--- a/rehearse/src/rules/commits.rs
+++ b/rehearse/src/rules/commits.rs
@@ -48,7 +48,7 @@
     pub sent_at: Micros,
     /// The time of the answer, or of the end of the connection if there was no answer.
     pub answered_at: Micros,
-    /// The index of the proxy.
+    /// The index of the proxy in the fleet.
     pub proxy: usize,
     /// The purged object.
     pub object: String,
@@ -65,7 +65,7 @@
 /// The state of a proxy at the end of a test run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinalState {
-    /// The index of the proxy.
+    /// The index of the proxy in the fleet.
     pub proxy: usize,
     /// The objects whose purges are in force at the proxy.
     pub objects: BTreeSet<String>,
@@ -75,14 +75,14 @@
     pub under_replicated: usize,
 }
 
-/// The record of a test run.
+/// The purge requests of a test run and the final states of its proxies, from which the rules are checked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CommitRecord {
     /// All requested purges, in the order in which they were sent.
     pub purges: Vec<PurgeRequest>,
     /// The final state of each proxy that runs.
     pub final_states: Vec<FinalState>,
-    /// The time limit for an answer.
+    /// The time limit for the answer to a purge request.
     pub timeout_us: Micros,
     /// The delay that the test harness itself may add to the time of an answer.
     pub tolerance_us: Micros,
--- a/rehearse/src/rules/mod.rs
+++ b/rehearse/src/rules/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A broken rule.
+/// A violation of a rule, with the observation that proves it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
     /// The name of the rule in `RULES`.
@@ -22,7 +22,7 @@
     pub request: Option<String>,
     /// The uid of the cache, if the breach concerns a particular cache.
     pub target: Option<String>,
-    /// The time of the breach.
+    /// The time at which the rule was broken.
     pub at: Micros,
     /// A description of the observation that breaks the rule.
     pub evidence: String,
