--- a/harness/src/links/mod.rs
+++ b/harness/src/links/mod.rs
@@ -31,11 +31,11 @@
 /// Datagram counters of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams sent.
+    /// Datagrams sent in this direction.
     pub sent: u64,
     /// Datagrams delivered, including duplicates.
     pub came: u64,
-    /// Datagrams lost.
+    /// Datagrams sent in this direction but dropped.
     pub lost: u64,
 }
 
@@ -97,7 +97,7 @@
         let counted = state.clone();
         threads.push(thread::spawn(move || {
             deliver(&due, |direction: Direction, bytes: &[u8]| {
-                // Sent from the socket that the receiver knows as the sender's address.
+                // Sent from the socket whose address the receiver uses for the sender.
                 let (from, to) = direction;
                 if sockets[&(to, from)].send_to(bytes, proxies[to]).is_ok() {
                     lock(&counted).counters.entry(direction).or_default().came += 1;
