--- a/budgets/src/allocation.rs
+++ b/budgets/src/allocation.rs
@@ -4,7 +4,7 @@
 use crate::ledger::{Ledger, OutstandingGrant};
 use crate::{Amount, LeaseRequest, MemberIndex, MemberProcess, Micros};
 
-/// An allocator's state of one budget: the holders' demands and the outstanding grants.
+/// An allocator's state for one budget: the holders' demands and the outstanding grants.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Allocation {
     ledger: Ledger,
--- a/discovery/src/evidence.rs
+++ b/discovery/src/evidence.rs
@@ -61,7 +61,7 @@
     Cached,
     /// The source with this name has removed the cache, while another source still lists it.
     RemovedBySource(String),
-    /// The cache with this id has taken over the address.
+    /// Another cache, with this id, now uses the address.
     AddressTaken(String),
     /// The cache was lost and returned too often; it is reused once its penalty has decayed.
     Flapping,
--- a/membership/src/swim/mod.rs
+++ b/membership/src/swim/mod.rs
@@ -181,7 +181,7 @@
         self.health
     }
 
-    /// Returns the counters since the start.
+    /// Returns the counts of probes, failed probes, refutations, stalls and undecodable datagrams since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
--- a/purges/src/bucket.rs
+++ b/purges/src/bucket.rs
@@ -26,7 +26,7 @@
 impl Fingerprint {
     const MASK: u64 = (1 << FINGERPRINT_BITS) - 1;
 
-    /// Returns the fingerprint of a key.
+    /// Takes the low `FINGERPRINT_BITS` bits of the hash of a key.
     pub const fn of(key: KeyHash) -> Self {
         Fingerprint(key.value() & Self::MASK)
     }
--- a/replication/examples/memory.rs
+++ b/replication/examples/memory.rs
@@ -1,5 +1,6 @@
-//! Prints the memory of a log store (Linux) with many logs of one entry, and with purges far beyond the maximum number
-//! of entries. Also prints the duration of a compaction step and of creating a snapshot image.
+//! Measures the memory usage of a log store in two cases: many logs with one entry each, and far more purges than the
+//! maximum number of entries. Also measures the duration of a compaction step and of creating a snapshot image. Linux
+//! only.
 //!
 //!     cargo run --release -p linnetknot-replication --example memory
 
--- a/replication/src/log_store/statuses.rs
+++ b/replication/src/log_store/statuses.rs
@@ -4,8 +4,8 @@
 use crate::{Entry, Epoch, Index, Micros, Subject, Writer};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The maximum difference between two wall clocks, or between the readings of one wall clock before and after a
-/// restart. Each reading may be off by an hour in either direction.
+/// The maximum skew between two wall clocks, or of one wall clock across a restart (elapsed time excluded). Each clock
+/// may be off by up to an hour in either direction.
 const MAX_CLOCK_SKEW_US: Micros = 2 * 60 * 60 * 1_000_000;
 
 impl LogStore {
--- a/simnet/src/network.rs
+++ b/simnet/src/network.rs
@@ -11,9 +11,9 @@
 /// The delay of datagrams on each link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delay {
-    /// The minimum delay.
+    /// The fixed part of the delay in microseconds, to which the jitter is added.
     pub min_us: Micros,
-    /// The exclusive upper bound of the random delay that is added.
+    /// The exclusive upper bound of the random part of the delay, in microseconds.
     pub jitter_us: Micros,
 }
 
@@ -36,11 +36,11 @@
 pub enum Step<M, D> {
     /// A datagram is delivered.
     Delivered {
-        /// The sender.
+        /// The index of the sending member.
         from: usize,
-        /// The receiver.
+        /// The index of the receiving member.
         to: usize,
-        /// The datagram.
+        /// The payload of the datagram.
         message: M,
     },
     /// The event that was passed to [`Network::step`] is due.
@@ -52,7 +52,7 @@
 /// A network of members, and its time.
 #[derive(Clone, Debug)]
 pub struct Network<M> {
-    /// The current time.
+    /// The current simulated time in microseconds.
     pub now: Micros,
     /// The share of lost datagrams, in percent.
     pub loss_percent: u64,
--- a/src/router/faults.rs
+++ b/src/router/faults.rs
@@ -12,7 +12,7 @@
 /// Weight of a stuck attempt, which a large object or a slow source may explain.
 const STUCK_WEIGHT: f64 = 0.25;
 
-/// Attribution of a failure.
+/// The endpoint that is blamed for a failed attempt.
 pub(super) enum Fault {
     /// The server, or the request itself.
     Server,
@@ -37,8 +37,9 @@
 }
 
 impl Router {
-    /// Attributes a failure. If the answer gives no reason, the failure is divided in proportion to the failure rates
-    /// of server and source. The failure rate of the healthy one falls again with its successful answers.
+    /// Decides whether the server or the source caused a failure. If the response gives no reason, the blame is split
+    /// in proportion to their failure rates. A healthy endpoint that is blamed by mistake recovers, because later
+    /// successful responses lower its failure rate.
     pub(super) fn assign_fault(&self, end: &AttemptEnd) -> Fault {
         let reason_known = self.settings.answer_detail == AnswerDetail::All
             || !matches!(end.outcome, Outcome::Full | Outcome::Error);
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -18,7 +18,8 @@
 pub enum Format {
     /// Log entries only. This is the format of new files.
     Entries,
-    /// Log entries and the compact table of older purges, which programs that only know `Entries` must not ignore.
+    /// Log entries and the compact table of older purges. This is a separate format so that older versions, which
+    /// support only `Entries`, refuse to open the file instead of skipping the table.
     Compacted,
 }
 
@@ -78,7 +79,7 @@
 pub struct Write {
     /// The keyspace of the key.
     pub keyspace: Keyspace,
-    /// The key.
+    /// The key within its keyspace, copied out of the store file.
     pub key: Vec<u8>,
     /// The operation on the key.
     pub change: Change,
@@ -136,7 +137,7 @@
 pub struct KeyValue {
     /// The key.
     pub key: Vec<u8>,
-    /// The value.
+    /// The value stored under the key, copied out of the store file.
     pub value: Vec<u8>,
 }
 
