--- a/budgets/src/election.rs
+++ b/budgets/src/election.rs
@@ -83,7 +83,8 @@
         now < self.majority_until()
     }
 
-    /// Returns the allocator if this member knows it, otherwise the candidate among the members that are up.
+    /// Returns the allocator if this member has learnt which member it is, otherwise the candidate among the members
+    /// that are up.
     pub(crate) fn leader(&self, now: Micros, up: &[bool]) -> MemberIndex {
         if self.leads(now) {
             return self.own.member;
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -180,8 +180,8 @@
             .is_some_and(|election| election.leads(now))
     }
 
-    /// Returns the allocator of a group if this member knows it, otherwise the member that is expected to become the
-    /// allocator.
+    /// Returns the allocator of a group if this member has learnt which member it is, otherwise the member that is
+    /// expected to become the allocator.
     pub fn allocator(&self, now: Micros, group: usize) -> MemberIndex {
         self.elections
             .get(group)
--- a/budgets/src/message.rs
+++ b/budgets/src/message.rs
@@ -14,7 +14,7 @@
 /// The response to a [`VoteRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VoteResponse {
-    /// The group of the request.
+    /// The group of budgets that the request named.
     pub group: usize,
     /// The number of the request that this message answers.
     pub number: u64,
@@ -43,9 +43,9 @@
 /// The response to a [`LeaseRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseGrant {
-    /// The budget of the request.
+    /// The index of the budget that the request named.
     pub budget: usize,
-    /// The number of the request.
+    /// The number of the request that this message answers.
     pub number: u64,
     /// The amount that the holder may spend beyond its reserved minimum.
     pub amount: Amount,
--- a/consul/src/watch/event.rs
+++ b/consul/src/watch/event.rs
@@ -10,9 +10,9 @@
 pub enum WatchEvent {
     /// A query failed. Reported again only if the next failure has another agent or error.
     QueryFailed {
-        /// Index of the agent.
+        /// Index of the agent that was queried.
         agent: usize,
-        /// The error of the call.
+        /// The reason why the call to the agent failed.
         error: CallError,
     },
     /// A query succeeded after failures.
@@ -67,9 +67,9 @@
     StaleResponse(Micros),
     /// Consul's index went backwards. The next query does not block, or waits for changes after index 1.
     IndexReset {
-        /// The previous index.
+        /// Consul's index before it went backwards.
         from: u64,
-        /// The index of the response.
+        /// Consul's index in the response, which is lower.
         to: u64,
     },
 }
--- a/consul/src/watch/response.rs
+++ b/consul/src/watch/response.rs
@@ -26,7 +26,7 @@
 struct Received<'r, 'b> {
     response: &'r Response<'b>,
     sent_at: Micros,
-    /// Length of the body.
+    /// Length of the response body in bytes.
     bytes: u64,
     content: ListContent,
 }
--- a/discovery/src/validation.rs
+++ b/discovery/src/validation.rs
@@ -15,7 +15,7 @@
 pub enum Rejection {
     /// The list is older than one received before, so only its removals and drains are applied.
     Stale {
-        /// The revision of the list.
+        /// The revision of the stale list.
         rev: u64,
         /// The highest revision received.
         known: u64,
--- a/membership/src/swim/mod.rs
+++ b/membership/src/swim/mod.rs
@@ -84,7 +84,7 @@
 }
 
 impl Membership {
-    /// Creates a member that knows nothing of its peers yet.
+    /// Creates a member without any claims about its peers.
     pub fn new(config: MembershipConfig, now: Micros) -> Self {
         let MembershipConfig {
             id,
--- a/purges/src/bucket.rs
+++ b/purges/src/bucket.rs
@@ -218,7 +218,7 @@
 pub enum DecodeError {
     /// The number of bytes does not match the number of slots.
     Length {
-        /// The number of bytes.
+        /// The number of bytes that were to be decoded.
         bytes: usize,
     },
     /// The number of occupied slots exceeds the size of a bucket.
--- a/replication/src/received.rs
+++ b/replication/src/received.rs
@@ -19,7 +19,7 @@
     pub bucket_bits: BucketBits,
     /// The bucket's index in that table.
     pub index: BucketIndex,
-    /// The merged bucket.
+    /// The contents of the bucket after the merge.
     pub bucket: Bucket,
 }
 
--- a/replication/src/snapshot/mod.rs
+++ b/replication/src/snapshot/mod.rs
@@ -20,12 +20,12 @@
 pub(crate) use sender::{Image, ImageReader};
 pub(crate) use transfer::CompleteSnapshot;
 
-/// A position in a snapshot.
+/// A position in a snapshot, from which a transfer can continue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SnapshotCursor {
     /// Before the compacted index of this log.
     Log(LogId),
-    /// Before this bucket.
+    /// Before this bucket of the compact table.
     Bucket(BucketIndex),
     /// Before the entry of a log at an index.
     Entry {
--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -21,7 +21,7 @@
 /// A datagram between replicas. Any datagram may be lost, duplicated or reordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Datagram {
-    /// An entry.
+    /// An entry for the receiver to insert into its log store.
     Entry(Entry),
     /// The sender's positions in its logs, sent periodically.
     Digest {
@@ -35,7 +35,7 @@
     /// Requests all entries after the sender's positions in these logs. The receiver of the request may have fewer
     /// entries.
     RangeRequest {
-        /// The sender's positions.
+        /// The sender's position in each of the requested logs.
         positions: Vec<LogPosition>,
     },
     /// Requests the live entries in these gaps of a log; the sender already has entries after each gap. Versions
@@ -43,17 +43,17 @@
     GapRequest {
         /// The log with the gaps.
         log: LogId,
-        /// The gaps, in order.
+        /// The gaps in that log, in ascending order of their indexes.
         gaps: Vec<Gap>,
     },
-    /// Requests a digest.
+    /// Requests a `Digest` from the receiver.
     DigestRequest,
     /// The sender's durable indexes, through which all live entries of these logs are on its disk. Versions without
     /// acknowledgements drop the datagram.
     Ack {
         /// The sender's process id, by which a delayed datagram of an earlier process is recognised.
         process: u64,
-        /// The durable indexes.
+        /// The logs and the durable index of each.
         positions: Vec<LogPosition>,
     },
     /// Offers a snapshot to a receiver that is behind the sender's compacted indexes. Versions without snapshots drop
--- a/simnet/src/events.rs
+++ b/simnet/src/events.rs
@@ -9,7 +9,7 @@
 pub struct Timed<E> {
     /// The time at which the event is due.
     pub at: Micros,
-    /// The event.
+    /// The event to process at that time.
     pub event: E,
 }
 
--- a/simnet/src/links.rs
+++ b/simnet/src/links.rs
@@ -12,7 +12,7 @@
 /// The delay of datagrams, and the shares of them that are lost, duplicated or reordered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkConditions {
-    /// The minimum delay.
+    /// The fixed part of the delay in microseconds, to which the spread and the jitter are added.
     pub delay_us: Micros,
     /// The maximum additional delay that is constant for each link and differs between links.
     pub spread_us: Micros,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -19,7 +19,7 @@
     pub group: u64,
     /// Size of the requested part in KB; 0 if unknown.
     pub size_kb: f64,
-    /// Time until the client's deadline.
+    /// Remaining time until the client's deadline, in microseconds.
     pub remaining_us: Micros,
     /// The client marked the request as a retry.
     pub is_retry: bool,
@@ -56,7 +56,7 @@
 pub enum Note {
     /// The answer did not say.
     None,
-    /// A cache hit.
+    /// The server answered from its cache.
     Hit,
     /// A miss that was filled from the source's copy.
     Filled,
@@ -168,7 +168,7 @@
     OriginShareLimit {
         /// Maximum share of the requests that may reach the origin.
         origin_share: f64,
-        /// Validity of the limit.
+        /// Time for which the limit applies, from the time of the event.
         valid_for_us: Micros,
     },
     /// A lease on a shared budget, which takes effect immediately. If more requests are in flight than it allows, none
@@ -176,7 +176,7 @@
     Lease(Lease),
     /// An object, or a whole group if no object is given, was purged.
     Purged {
-        /// The purged object.
+        /// The purged object; `None` if the whole group was purged.
         object: Option<String>,
         /// Group of the object, or the purged group.
         group: u64,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -138,7 +138,8 @@
     pub purge_grace_us: Micros,
     /// Time after which servers have dropped purged copies themselves.
     pub purge_completion_us: Micros,
-    /// For a polled server list, the maximum time between polls. After it a router is expected to know of a change.
+    /// For a polled server list, the maximum time between polls. A router is expected to have received a change of the
+    /// list when this time has passed.
     pub max_poll_age_us: Micros,
 }
 
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -12,9 +12,9 @@
 
 /// Slow-start budget of a server for one window of the overload rule, in seconds of transfer.
 pub(super) struct SlowStartBudget {
-    /// Limit for all routers together.
+    /// Maximum load that all routers together may send to the server.
     limit_s: f64,
-    /// Load sent by this router.
+    /// Load that this router has sent to the server within the window.
     used_s: f64,
 }
 
--- a/src/router/statistics.rs
+++ b/src/router/statistics.rs
@@ -137,7 +137,8 @@
         self.mean_active_fills += step * (self.active_fills - self.mean_active_fills);
     }
 
-    /// Returns whether a request's attempt has lasted long enough to be a fill. Stuck attempts are assumed to be lost.
+    /// Returns whether a request's attempt has lasted longer than a cache hit would, so that it must be a fill. Stuck
+    /// attempts are assumed to be lost.
     fn is_filling(&self, now: Micros, open: &OpenRequest) -> bool {
         open.in_flight.as_ref().is_some_and(|attempt| {
             let elapsed_s = now.saturating_sub(attempt.sent_at) as f64 / 1e6;
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -18,7 +18,7 @@
     /// The content is damaged, or the file is not a store.
     #[error("it is damaged ({0}); move it away and start again: what was committed comes back from the peers")]
     Damaged(String),
-    /// The file has a format that this version of the program does not know, with the name of the format.
+    /// The file has a format that this version of the program does not support. Holds the name of the format.
     #[error("its format is '{0}', this program's are '{known}'; start the program that wrote it", known = known_formats())]
     Format(String),
 }
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Returns the write that sets this format. A file must never be set to an older format, as programs that support
-    /// only that format would ignore the rest of the file.
+    /// Returns the write that sets this format. A file must never be set to an older format, because programs that
+    /// support only that format would skip the rest of the file.
     pub fn write(self) -> Write {
         Write::put(HEADER, FORMAT_KEY.to_vec(), self.name().into())
     }
@@ -66,9 +66,9 @@
 /// The operation of a write on its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Sets the value.
+    /// Stores this value under the key, replacing any previous value.
     Put(Vec<u8>),
-    /// Removes the key.
+    /// Removes the key and its value, if the key exists.
     Remove,
     /// Removes the key if it has this value when the write is applied.
     RemoveIf(Vec<u8>),
