--- a/budgets/src/pending.rs
+++ b/budgets/src/pending.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// The maximum number of pending requests. Responses to older ones are ignored, because those requests have been
+/// The maximum number of pending requests. Responses to older requests are discarded, because those requests have been
 /// repeated since.
 const MAX_PENDING_REQUESTS: usize = 8;
 
--- a/discovery/src/endpoint_table/mod.rs
+++ b/discovery/src/endpoint_table/mod.rs
@@ -39,9 +39,9 @@
 pub struct TableUpdate {
     /// Events for the decision module, in the order in which they are applied.
     pub events: Vec<ListEvent>,
-    /// Status changes, for the log.
+    /// Status changes of caches, to be written to the log.
     pub changes: Vec<StatusChange>,
-    /// Other conditions, for the log.
+    /// Other conditions that operators should see, to be written to the log.
     pub notices: Vec<Notice>,
 }
 
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns the last published status.
+    /// Returns the status of the cache that was published last.
     fn status(&self) -> EndpointStatus {
         self.published
             .as_ref()
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -34,7 +34,7 @@
 pub struct Change {
     /// The index of the member whose state has changed.
     pub peer: PeerIndex,
-    /// The previous claim; `None` if nothing was known of the member.
+    /// The previous claim; `None` if there was no claim about the member before.
     pub old: Option<Claim>,
     /// The current claim.
     pub new: Claim,
--- a/replication/src/entry.rs
+++ b/replication/src/entry.rs
@@ -1,4 +1,4 @@
-//! Logs and their entries.
+//! The data model of replication: logs, and the entries that they contain.
 
 use linnetknot_purges::KeyHash;
 
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -86,7 +86,7 @@
     expiring: usize,
     /// The times at which this process first received expiring entries of other processes, by its own clock.
     first_seen: BTreeMap<EntryKey, Micros>,
-    /// The compacted purges.
+    /// The older purges, which are no longer held as entries.
     pub(crate) table: CompactTable,
     checksum: u64,
 }
--- a/replication/src/position.rs
+++ b/replication/src/position.rs
@@ -14,8 +14,8 @@
 /// A range of a log that a replica is missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Gap {
-    /// The index before the first missing one. The replica has the log through this index.
+    /// The last index before the gap. The replica has the log through this index.
     pub after: Index,
-    /// The last missing index.
+    /// The last missing index, inclusive.
     pub through: Index,
 }
--- a/replication/src/snapshot/mod.rs
+++ b/replication/src/snapshot/mod.rs
@@ -53,7 +53,7 @@
 /// An offer of a snapshot to a receiver that is behind the sender's compacted indexes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotOffer {
-    /// The sender's process id.
+    /// The process id of the sender of the snapshot.
     pub process: u64,
     /// The number of the sender's compacted logs.
     pub compacted_log_count: u64,
@@ -98,7 +98,7 @@
 /// A part of a snapshot that fits into a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotChunk {
-    /// The sender's process id.
+    /// The process id of the sender of the snapshot.
     pub process: u64,
     /// The number of the image that the chunk was read from.
     pub image: u64,
--- a/replication/src/snapshot/sender.rs
+++ b/replication/src/snapshot/sender.rs
@@ -19,7 +19,7 @@
     pub(crate) compactions: u64,
     /// The compacted indexes of the logs.
     logs: BTreeMap<LogId, Index>,
-    /// All purges, both compacted ones and those stored as entries.
+    /// All purges, both those in the compact table and those stored as entries.
     table: CompactTable,
 }
 
--- a/simnet/src/links.rs
+++ b/simnet/src/links.rs
@@ -22,7 +22,8 @@
     pub loss_ppm: u64,
     /// The share of duplicated datagrams, in parts per million.
     pub duplication_ppm: u64,
-    /// The share of datagrams with twice the minimum delay, which later ones overtake, in parts per million.
+    /// The share of datagrams whose fixed delay is doubled, so that later datagrams overtake them, in parts per
+    /// million.
     pub reordering_ppm: u64,
 }
 
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -35,7 +35,7 @@
         /// How the server fills a miss; `None` if it does not.
         fill: Option<Fill>,
     },
-    /// Cancels an attempt.
+    /// Cancels an attempt that is in flight.
     Cancel {
         /// Id of the request.
         request: RequestId,
--- a/src/router/faults.rs
+++ b/src/router/faults.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Records a failure to connect.
+    /// Records a failure to connect as a failure of the attempt's server.
     fn record_unreached(&mut self, end: &AttemptEnd) {
         self.record_failure(end.now, end.attempt.server, CONNECT_FAILURE_WEIGHT);
         if let Some(server) = self.endpoints.get_mut(&end.attempt.server) {
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -52,13 +52,13 @@
     /// State of the random number generator that selects among copies.
     random_state: u64,
     endpoints: BTreeMap<ServerId, Endpoint>,
-    /// Ready servers by role.
+    /// Ids of the servers that accept requests, by role.
     ready_by_role: [Vec<ServerId>; 3],
     requests: BTreeMap<RequestId, OpenRequest>,
     /// Recent requests by object and by part.
     object_counts: RequestCounts,
     part_counts: RequestCounts,
-    /// Indexed like the classes in the settings.
+    /// Statistics of each class of requests, in the order of the classes in the settings.
     class_statistics: Vec<ClassStatistics>,
     /// Cache miss rate of attempts.
     miss_rate: f64,
--- a/src/router/outcomes.rs
+++ b/src/router/outcomes.rs
@@ -9,7 +9,7 @@
 /// The proxy's report on the end of an attempt.
 pub(super) struct AttemptReport {
     pub(super) request: RequestId,
-    /// Number of the attempt.
+    /// Number of the attempt within its request, starting at 0.
     pub(super) attempt: u32,
     pub(super) outcome: Outcome,
     pub(super) took_us: Micros,
--- a/src/router/outliers.rs
+++ b/src/router/outliers.rs
@@ -8,7 +8,7 @@
 const MIN_EJECTION_US: Micros = 1_500_000;
 /// Maximum duration of an ejection.
 const MAX_EJECTION_US: Micros = 4_000_000;
-/// Maximum number of doublings.
+/// Maximum number of times that the duration of a server's ejection is doubled.
 const MAX_DOUBLINGS: u32 = 4;
 /// Weight of one outcome in a server's failure rate.
 pub(super) const FAILURE_WEIGHT: f64 = 0.3;
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// An attempt in flight.
+/// An attempt that has been sent and has not ended yet.
 pub(super) struct Attempt {
     /// Number within its request, starting at 0.
     pub(super) number: u32,
@@ -126,7 +126,7 @@
     pub(super) deadline: Micros,
     /// Random number from 0 to 1. The request may reach the origin if it is below the admitted share.
     pub(super) admission_draw: f64,
-    /// Attempts sent so far.
+    /// Number of attempts sent for the request so far.
     pub(super) attempts: u32,
     pub(super) in_flight: Option<Attempt>,
     /// A streamed answer has started.
@@ -134,7 +134,7 @@
     pub(super) client_left: bool,
     /// Attempts that failed, or may have failed, because of their source, and attempts that missed in a parent.
     pub(super) failed_fills: u32,
-    /// Attempts cancelled as stuck.
+    /// Number of attempts of the request that were cancelled as stuck.
     pub(super) stuck: u32,
     /// Attempts that servers answered with an error without a reason.
     pub(super) unexplained_errors: u32,
--- a/src/router/timers.rs
+++ b/src/router/timers.rs
@@ -7,7 +7,7 @@
 
 /// Interval at which the periodic work is performed.
 const TICK_US: Micros = 50_000;
-/// Tag of the recurring timer.
+/// Tag of the timer that triggers the periodic work of the router.
 pub(super) const TICK_TAG: u64 = 0;
 /// Time over which this router's own transfers are averaged. The average is the estimate for each other router.
 const AVERAGING_S: f64 = 3.0;
@@ -15,14 +15,14 @@
 /// was sent.
 const MIN_OVERDUE: usize = 2;
 
-/// Overdue attempts of one server.
+/// Number of overdue attempts that a server serves or fills, and the time at which the first of them was sent.
 struct Overdue {
     attempts: usize,
     first_sent_at: Micros,
 }
 
 impl Router {
-    /// Schedules the next tick.
+    /// Schedules the timer for the next run of the periodic work.
     pub(super) fn schedule_tick(now: Micros, actions: &mut Vec<Action>) {
         actions.push(Action::Timer {
             at: now + TICK_US,
--- a/store/src/unsynced.rs
+++ b/store/src/unsynced.rs
@@ -51,7 +51,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a write.
+    /// Records that these bytes of the file were written and are not synced yet.
     pub(crate) fn record_write(&self, offset: u64, length: usize) {
         self.state().add(offset, offset + length as u64);
     }
