--- a/admin-api/src/admin/parser.rs
+++ b/admin-api/src/admin/parser.rs
@@ -1,4 +1,4 @@
-//! The incremental parser of requests.
+//! The incremental parser of HTTP requests at the admin listener.
 
 use super::call::{route, Call, CallError};
 
--- a/admin-api/src/state.rs
+++ b/admin-api/src/state.rs
@@ -13,7 +13,7 @@
 /// Whether the process is in service or drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainState {
-    /// The process is in service.
+    /// The process is in service and does not drain.
     Serving,
     /// The process has been draining since this time: the readiness check fails, each client connection is closed once
     /// its responses are sent, and idle connections are closed at the next sweep. New connections are still accepted,
--- a/budgets/src/kinds.rs
+++ b/budgets/src/kinds.rs
@@ -10,7 +10,7 @@
 /// A server's capacity divided by this is added to each demand for capacity.
 const SPARE_DIVISOR: Amount = 10;
 
-/// The unit of an amount.
+/// The unit in which the amounts of a budget are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
     /// The amount is a number of concurrent requests.
@@ -55,7 +55,7 @@
 pub struct Kind {
     /// The name that `fleet budgets` and the log show.
     pub name: &'static str,
-    /// The unit of its amounts.
+    /// The unit of the limits, demands and leases of budgets of this kind.
     pub unit: Unit,
 }
 
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -15,9 +15,9 @@
 pub enum Change {
     /// This member has started or stopped being the allocator of a group.
     Leader {
-        /// The index of the group.
+        /// The index of the group of budgets.
         group: usize,
-        /// Whether it is the allocator now.
+        /// Whether this member is the allocator now.
         leads: bool,
     },
     /// This member's lease of a budget has expired, so that only the reserved minimum is left, or it has a lease again.
--- a/consul/src/mapping.rs
+++ b/consul/src/mapping.rs
@@ -24,9 +24,9 @@
 /// The keys of the properties in the `Meta` of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetaKeys {
-    /// Key of the zone.
+    /// Key whose value is the zone of the cache.
     pub zone: String,
-    /// Key of the kind.
+    /// Key whose value is the kind of the cache.
     pub kind: String,
     /// Key of the cell. Caches of the same cell share the idempotency keys that they have seen.
     pub cell: String,
--- a/consul/src/watch/options.rs
+++ b/consul/src/watch/options.rs
@@ -1,8 +1,8 @@
-//! Options of a watch.
+//! The options of a watch, which follows the instances of one Consul service.
 
 use linnetknot::Micros;
 
-/// Consul's consistency modes.
+/// Consul's consistency modes, which determine how current the data of a response must be.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Consistency {
     /// The leader reads, without verifying that it is still the leader.
@@ -17,7 +17,7 @@
 /// Options of a watch. All durations are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// Name of the service.
+    /// Name of the Consul service whose instances are watched.
     pub service: String,
     /// Datacenter, or `None` for the datacenter of the agent.
     pub datacenter: Option<String>,
@@ -27,7 +27,7 @@
     pub tags: Vec<String>,
     /// Filter expression of the health API.
     pub filter: Option<String>,
-    /// Consistency of the queries.
+    /// Consul's consistency mode for the queries.
     pub consistency: Consistency,
     /// Maximum time since the responding server's last contact with the leader. Stale responses that exceed it are
     /// discarded.
@@ -43,7 +43,7 @@
     pub min_share: f64,
     /// Delay after the first of consecutive failures.
     pub min_backoff_us: Micros,
-    /// Maximum delay after failures.
+    /// Maximum delay between calls after consecutive failures.
     pub max_backoff_us: Micros,
     /// Average interval between attempts to return to the first agent after a failover.
     pub primary_retry_us: Micros,
--- a/consul/src/watch/reader.rs
+++ b/consul/src/watch/reader.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ResponseReader {
     splitter: ListSplitter,
-    /// Number of bytes received.
+    /// Number of bytes of the body that have been received.
     pub(super) bytes: u64,
     /// The error that makes the body unusable.
     pub(super) error: Option<ListError>,
--- a/discovery/src/evidence.rs
+++ b/discovery/src/evidence.rs
@@ -191,8 +191,8 @@
         /// The source that reports the other cache.
         source: SourceId,
     },
-    /// Two caches are reported at the same address. The cache that was first reported there most recently gets the
-    /// address.
+    /// Two caches are reported at the same address. The cache whose reports at this address began most recently gets
+    /// the address.
     DuplicateAddress {
         /// Id of the newly reported cache.
         uid: String,
--- a/origin-health/src/report.rs
+++ b/origin-health/src/report.rs
@@ -16,7 +16,7 @@
 
 /// The length of a report in bytes.
 pub const REPORT_BYTES: usize = 24;
-/// The offset of the checksum.
+/// The offset of the checksum in a report, in bytes.
 const CHECKSUM_AT: usize = REPORT_BYTES - 4;
 const MAGIC: &[u8; 3] = b"LKW";
 const VERSION: u8 = 1;
@@ -42,7 +42,7 @@
     TooLong,
     /// The datagram belongs to another protocol.
     Foreign,
-    /// The version is unknown.
+    /// The version of the report is not supported. Holds the version byte of the datagram.
     Version(u8),
     /// The datagram is truncated, too long for its version, or corrupt.
     Malformed,
--- a/replication/src/log_store/capacity.rs
+++ b/replication/src/log_store/capacity.rs
@@ -10,7 +10,7 @@
     pub entries: usize,
     /// The maximum number of entries that expire. The separate limit keeps them from taking the space of other entries.
     pub expiring_entries: usize,
-    /// The maximum number of logs.
+    /// The maximum number of logs. Each epoch of a writer is a log.
     pub logs: usize,
 }
 
--- a/replication/src/recovery.rs
+++ b/replication/src/recovery.rs
@@ -8,7 +8,7 @@
 use crate::{Machine, Micros};
 use std::collections::BTreeSet;
 
-/// The schedule of a recovery.
+/// The schedule of the recovery of a proxy's own commits from its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryTimes {
     /// The time of the first digest requests.
--- a/replication/src/snapshot/receiver.rs
+++ b/replication/src/snapshot/receiver.rs
@@ -18,7 +18,7 @@
 /// The maximum number of logs that are tracked in `missing`.
 const MAX_MISSING: usize = 1_024;
 
-/// The state of a snapshot after a chunk.
+/// The state of a snapshot transfer after a chunk was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
     /// Parts of the snapshot are missing.
--- a/simnet/src/network.rs
+++ b/simnet/src/network.rs
@@ -58,9 +58,9 @@
     pub loss_percent: u64,
     /// The share of duplicated datagrams, in percent.
     pub duplicate_percent: u64,
-    /// The delay of datagrams.
+    /// The delay of newly sent datagrams.
     pub delay: Delay,
-    /// The links that are cut.
+    /// The links on which all newly sent datagrams are dropped.
     cut: BTreeSet<Link>,
     in_flight: EventQueue<InFlight<M>>,
     random: Random,
--- a/src/router/statistics.rs
+++ b/src/router/statistics.rs
@@ -5,13 +5,14 @@
 use super::Router;
 use crate::interface::{Class, Micros, Note, Outcome};
 
-/// Half-life of the samples from the location's link, short so that regained capacity is noticed quickly.
+/// Half-life of the weight of the slowdown samples of the location's link, in milliseconds. It is short so that
+/// regained capacity is detected quickly.
 pub(super) const LINK_HALF_LIFE_MS: u64 = 1_000;
-/// Half-life of the samples of one server.
+/// Half-life of the weight of the slowdown samples of one server, in milliseconds.
 pub(super) const SLOWDOWN_HALF_LIFE_MS: u64 = 10_000;
 /// Minimum decayed number of samples for a slowdown average to be used.
 pub(super) const MIN_SLOWDOWN_SAMPLES: f64 = 2.0;
-/// Duration of a hit beyond its transfer time.
+/// Assumed duration of a cache hit in addition to its transfer time, in seconds.
 pub(super) const ROUND_TRIP_S: f64 = 0.02;
 /// Minimum transfer time derived from a hit.
 const MIN_TRANSFER_S: f64 = 0.001;
@@ -32,7 +33,7 @@
     pub(super) transfer_s: f64,
     /// Number of requests that `transfer_s` is derived from.
     samples: f64,
-    /// Multiple of the expected duration that all but a share of `TAIL_SHARE` of the answers stay within.
+    /// Multiple of the expected duration that only a share of `TAIL_SHARE` of the answers exceeds.
     pub(super) tail_factor: f64,
 }
 
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -50,7 +50,7 @@
 
 /// The keyspace that contains the name of the format.
 const HEADER: Keyspace = Keyspace("head");
-/// The key of the name of the format.
+/// The key in `HEADER` under which the name of the format is stored.
 const FORMAT_KEY: &[u8] = b"format";
 
 /// A named set of keys in the file, which is separate from all other keyspaces.
