--- a/admin-api/src/admin/parser.rs
+++ b/admin-api/src/admin/parser.rs
@@ -97,7 +97,7 @@
         Self::default()
     }
 
-    /// Processes received bytes. Returns a complete call or an error once, and ignores all bytes after that.
+    /// Processes received bytes. Returns a complete call or an error once, and discards all bytes after that.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Call>, CallError> {
         if self.is_done {
             return Ok(None);
--- a/budgets/src/lib.rs
+++ b/budgets/src/lib.rs
@@ -64,7 +64,8 @@
 /// An amount of a budget, in the budget's unit.
 pub type Amount = u64;
 
-/// One process of a member. A new process does not know which votes and leases an earlier one gave, or what it spent.
+/// One process of a member. A new process has no record of the votes and leases that an earlier process gave, or of the
+/// amounts that it spent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberProcess {
     /// The index of the member.
--- a/membership/src/swim/claims.rs
+++ b/membership/src/swim/claims.rs
@@ -47,9 +47,9 @@
             );
             self.suspicions.insert(peer, suspicion);
         }
-        // Each member discovers the others by itself and ignores claims about unknown members. The first claim that a
-        // member is alive is therefore not gossiped. When a large fleet starts, such claims would leave no room for
-        // refutations.
+        // Each member discovers its peers by itself and discards claims about members that it has not discovered. The
+        // first claim that a member is alive is therefore not gossiped. When a large fleet starts, such claims would
+        // leave no room for refutations.
         if old.is_some() || update.claim.state != MemberState::Alive {
             self.gossip.add(update);
         }
--- a/membership/src/swim/mod.rs
+++ b/membership/src/swim/mod.rs
@@ -157,8 +157,8 @@
         1 + self.members.iter().filter(|m| m.is_up()).count()
     }
 
-    /// Declares that this process started without its disk, so that it does not know the id of its predecessor. The
-    /// wall clock may have been set back between the start of the predecessor and that of this process. Until the given
+    /// Declares that this process started without its disk, and therefore without the id of its predecessor. The wall
+    /// clock may have been set back between the start of the predecessor and the start of this process. Until the given
     /// time, a greater process id that peers report and that lies in the future of the clock is assumed to be the
     /// predecessor's, and this process adopts the id after it.
     pub fn expect_predecessor(&mut self, until: Micros) {
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -38,14 +38,14 @@
     Timeout,
     /// The connection was refused; the request did not run.
     ConnectFailed,
-    /// No connection was established in time, although none was refused. The request did not run, and the server's
-    /// process may be running.
+    /// No connection was established within the timeout, although none was refused. The request did not run, and the
+    /// server's process may be running.
     Unreached,
     /// The connection was reset; the request may have run.
     Reset,
     /// The router cancelled the attempt; the request may have run.
     Cancelled,
-    /// The attempt was not executed, and this says nothing about the health of its server.
+    /// The attempt was not executed, for a reason that does not indicate whether its server is healthy.
     Moot,
     /// The cache has no usable copy and did not fill one.
     Miss,
@@ -54,7 +54,7 @@
 /// How the answer was produced, or why a fill failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// The answer did not say.
+    /// The answer did not contain this detail.
     None,
     /// The server answered from its cache.
     Hit,
@@ -92,7 +92,7 @@
 /// A router's lease on a shared budget. A router without a lease uses an equal share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
-    /// The leased budget.
+    /// The shared budget of which the router has leased a part.
     pub budget: Budget,
     /// Amount that may be used before `until`, including the reserved minimum.
     pub amount: f64,
--- a/src/interface/servers.rs
+++ b/src/interface/servers.rs
@@ -19,7 +19,7 @@
 pub struct Server {
     /// Id of the server.
     pub id: ServerId,
-    /// Name of its zone.
+    /// Name of the zone in which the server runs.
     pub zone: String,
     /// Cell of the server: servers in one cell share the idempotency keys that they have seen.
     pub cell: u64,
@@ -38,7 +38,7 @@
 pub enum ListMode {
     /// The complete list; servers that are missing from it have been removed.
     Full,
-    /// Only the changed entries.
+    /// Only the entries that changed since the previous list.
     Delta,
     /// No entries, because the poll failed.
     Failed,
@@ -49,9 +49,9 @@
 pub struct Load {
     /// Fraction of the server's CPU time in use.
     pub cpu_utilisation: Option<f64>,
-    /// Requests in flight.
+    /// Number of requests in flight at the server.
     pub in_flight: Option<f64>,
-    /// Recent cache hit ratio.
+    /// Share of recent requests that the server answered from its cache.
     pub hit_ratio: Option<f64>,
     /// For a cache, the utilisation of its location's link; for a parent, the number of fetches in flight.
     pub link_utilisation: Option<f64>,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -85,11 +85,11 @@
 /// The caches that may be the source of another cache's fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Siblings {
-    /// No caches.
+    /// No cache may be the source of a fill.
     Off,
-    /// Caches in the same location.
+    /// Only caches in the same location as the cache that is filled.
     Location,
-    /// All caches.
+    /// Caches in all locations.
     Any,
 }
 
@@ -100,18 +100,18 @@
     All,
     /// Only whether the answer was a hit or a fill.
     Hit,
-    /// No detail.
+    /// Answers do not state how they were produced.
     Off,
 }
 
-/// Source of load reports.
+/// Where the load reports of servers are taken from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
-    /// Answers and health checks.
+    /// Load reports arrive with answers and with health checks.
     Answers,
-    /// Health checks only.
+    /// Load reports arrive only with health checks.
     Probes,
-    /// No load reports.
+    /// Servers send no load reports.
     Off,
 }
 
@@ -143,7 +143,7 @@
     pub max_poll_age_us: Micros,
 }
 
-/// Settings of a router.
+/// Settings of a router: the requests, zones and servers of the deployment, and the actions that a router may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Classes of requests; at least one is required.
@@ -166,11 +166,11 @@
     pub direct_to_upstream: bool,
     /// A request may wait for a fill already in progress.
     pub coalesces_fills: bool,
-    /// The caches that may fill others.
+    /// The caches that may be the source of another cache's fill.
     pub siblings: Siblings,
     /// Detail that answers give about how they were produced.
     pub answer_detail: AnswerDetail,
-    /// Source of load reports.
+    /// Where the load reports of servers are taken from.
     pub load_reports: LoadReports,
     /// Weights in the server list are link capacities, in transfers at full rate.
     pub weights_known: bool,
@@ -180,7 +180,7 @@
     pub max_attempts: u32,
     /// A request may have two attempts in flight at once.
     pub hedged_requests: bool,
-    /// Attempts may be cancelled.
+    /// The router may cancel attempts that are in flight.
     pub cancel: bool,
     /// Health checks may be sent to servers.
     pub probes: bool,
--- a/src/router/capacity.rs
+++ b/src/router/capacity.rs
@@ -34,8 +34,8 @@
         })
     }
 
-    /// Returns whether a slowed-down transfer would finish in time: within the latency objective or, if that has
-    /// passed, before the client's deadline.
+    /// Returns whether a slowed-down transfer would finish within the latency objective or, if that has passed, before
+    /// the client's deadline.
     fn fits_in_time(&self, now: Micros, open: &OpenRequest, slowdown: f64, margin: f64) -> bool {
         let until = if now < open.objective_at {
             open.objective_at.min(open.deadline)
--- a/src/router/retries.rs
+++ b/src/router/retries.rs
@@ -92,7 +92,8 @@
             actions.push(Action::Fail { request: id });
             return;
         }
-        // Retry-After is sent regardless of `Settings::retry_after`; clients that do not follow the header ignore it.
+        // Retry-After is sent regardless of `Settings::retry_after`, because the header does no harm to clients that do
+        // not follow it.
         let max_us = Some(self.settings.max_retry_after_us).filter(|us| *us > 0);
         actions.push(Action::Refuse {
             request: id,
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -50,7 +50,7 @@
     pub(super) ejected_until: Micros,
     /// Number of consecutive ejections; if it is not 0 after the last ejection expires, the server is on trial.
     pub(super) ejections: u32,
-    /// The single trial attempt is in flight.
+    /// The server is on trial after an ejection, and its single trial attempt is in flight.
     pub(super) trial_in_flight: bool,
     pub(super) last_success: Micros,
     /// Time of the last connection reset.
@@ -58,16 +58,17 @@
     /// Attempts of this router in flight at the server, currently and on average.
     pub(super) in_flight: usize,
     pub(super) mean_in_flight: f64,
-    /// Slowdown of recent hits.
+    /// Average slowdown of recent cache hits compared to a transfer at full rate.
     pub(super) hit_slowdown: SlowdownAverage<SLOWDOWN_HALF_LIFE_MS>,
-    /// Slowdown of recent fills of known size.
+    /// Average slowdown of recent fills of known size compared to a transfer at full rate.
     pub(super) fill_slowdown: SlowdownAverage<SLOWDOWN_HALF_LIFE_MS>,
     /// Requests sent to the server within the window of the slow-start rule.
     pub(super) slow_start_charges: VecDeque<Charge>,
 }
 
 impl Endpoint {
-    /// Returns when the server's process started or is assumed to have started; `None` if it has long been warm.
+    /// Returns when the server's process started or is assumed to have started; `None` if it started so long ago that
+    /// it has its full capacity.
     pub(super) fn warming_since(&self) -> Option<Micros> {
         self.started.max(self.recovered_at)
     }
@@ -101,7 +102,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct FirstRun {
     pub(super) sent_at: Micros,
-    /// Zone and cell of its server.
+    /// Zone and cell of the server to which the attempt was sent.
     pub(super) zone: usize,
     pub(super) cell: u64,
 }
