--- a/budgets/src/election.rs
+++ b/budgets/src/election.rs
@@ -8,7 +8,8 @@
 use crate::{MemberIndex, MemberProcess, Micros, Options, VoteRequest, VoteResponse};
 use std::collections::BTreeMap;
 
-/// The member that is known to lead or to have received a vote, and the time at which this knowledge expires.
+/// The member that is believed to be the allocator or has received a vote, and the time at which this information
+/// expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct KnownLeader {
     member: MemberIndex,
@@ -31,8 +32,8 @@
     options: Options,
     vote: Vote,
     /// The member that this member has voted for, or that more than half of the members named when they refused their
-    /// votes to this member. The knowledge expires and is never passed on, because members could otherwise confirm each
-    /// other's outdated knowledge forever.
+    /// votes to this member. This information expires and is never passed on, because members could otherwise confirm
+    /// each other's outdated information forever.
     known_leader: Option<KnownLeader>,
     /// By voter, the member that the voter named when it refused its vote.
     refusals: BTreeMap<MemberIndex, KnownLeader>,
@@ -42,7 +43,7 @@
     backoff_until: Micros,
     votes: Votes,
     requests: PendingRequests,
-    /// The leadership of this member that was last reported to the caller.
+    /// Whether this member was the allocator according to the last report to the caller.
     reported_leads: bool,
     /// Since when this member has been granting leases.
     serving_since: Option<Micros>,
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Returns whether this member leads, if that has changed since the last call that returned a value.
+    /// Returns whether this member is the allocator, if this has changed since the last call that returned a value.
     pub(crate) fn leadership_change(&mut self, now: Micros) -> Option<bool> {
         let leads = self.leads(now);
         let reported = std::mem::replace(&mut self.reported_leads, leads);
--- a/budgets/src/fair_share.rs
+++ b/budgets/src/fair_share.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The amount that is reserved for new holders is the leasable amount divided by this.
+/// Divisor of the leasable amount. The result is the amount that is reserved for new holders.
 const NEWCOMER_DIVISOR: Amount = 25;
 
 /// A holder's demand and the time at which it was received.
--- a/budgets/src/kinds.rs
+++ b/budgets/src/kinds.rs
@@ -7,7 +7,7 @@
 const DEMAND_FACTOR: Amount = 2;
 /// The number of requests that are added to each demand for concurrent requests.
 const SPARE_REQUESTS: Amount = 4;
-/// A server's capacity divided by this is added to each demand for capacity.
+/// Divisor of a server's capacity. The result is added to each demand for capacity as a reserve.
 const SPARE_DIVISOR: Amount = 10;
 
 /// The unit in which the amounts of a budget are counted.
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -217,7 +217,7 @@
         budget % self.elections.len()
     }
 
-    /// Returns the counters since the start.
+    /// Returns the counts of granted, accepted, stale and misdirected leases and requests since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
@@ -336,7 +336,8 @@
         let Some(spec) = self.spec(request.budget) else {
             return;
         };
-        // Amounts that are spent at the end of the lease must also settle before the votes expire.
+        // Amounts that are spent at the end of the lease remain unsettled for the settling time, and the votes must not
+        // expire before that.
         let settling_us = self.options.extended_by_drift(spec.settling_us);
         let votes_until = self.elections[group].majority_until();
         let max_until = votes_until.saturating_sub(settling_us);
--- a/budgets/src/message.rs
+++ b/budgets/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages between members.
+//! The messages between members: votes for allocators, and leases of budgets.
 
 use crate::{Amount, MemberIndex, Micros};
 
--- a/budgets/src/pending.rs
+++ b/budgets/src/pending.rs
@@ -1,4 +1,4 @@
-//! Requests that await responses.
+//! Requests that a member has sent and that await responses.
 
 use crate::Micros;
 use std::collections::BTreeMap;
--- a/budgets/src/wire.rs
+++ b/budgets/src/wire.rs
@@ -13,13 +13,13 @@
 /// The first word of a datagram. The digit is the version of the encoding.
 const PREFIX: &str = "budgets1";
 
-/// A decoded datagram.
+/// A decoded datagram, which carries messages of one sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     /// Identifies the sender's configuration of members and budgets. Messages of a member with another fingerprint must
     /// not be processed.
     pub fingerprint: u64,
-    /// The sender's process.
+    /// The id of the process that sent the datagram.
     pub process: ProcessId,
     /// The messages, in the order in which they were sent.
     pub messages: Vec<Message>,
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -56,7 +56,7 @@
     pub id: Option<Id>,
     /// The names that the member reports; `None` before they are known.
     pub names: Option<Names>,
-    /// The current claim about the member; `None` if nothing is known of the member.
+    /// The current claim about the member; `None` if there is none yet.
     pub claim: Option<Claim>,
 }
 
--- a/membership/src/options.rs
+++ b/membership/src/options.rs
@@ -42,7 +42,7 @@
     pub probes: u64,
     /// Probes that were neither acknowledged directly nor indirectly.
     pub failed: u64,
-    /// False claims about this member that it refuted.
+    /// False claims about this member that the member refuted.
     pub refuted: u64,
     /// Stalls of this process that were detected by a late tick.
     pub stalls: u64,
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -28,7 +28,7 @@
 pub struct Sender {
     /// The id of the sender.
     pub id: Id,
-    /// The process of the sender.
+    /// The id of the process that sent the datagram.
     pub process: ProcessId,
     /// The incarnation of the sender.
     pub incarnation: u32,
@@ -37,7 +37,7 @@
 /// The body of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Probes the receiver.
+    /// Probes the receiver, which replies with an acknowledgement.
     Ping {
         /// The number that the acknowledgement repeats.
         number: u32,
@@ -53,11 +53,11 @@
         /// The sender's names, if they were requested.
         names: Option<Names>,
     },
-    /// Requests an indirect probe.
+    /// Requests that the receiver probe another member on behalf of the sender.
     PingRequest {
         /// The number that the acknowledgement repeats.
         number: u32,
-        /// The member to probe.
+        /// The member that the receiver is asked to probe.
         target: Id,
     },
     /// Reports that the target of an indirect probe did not answer.
--- a/replication/src/options.rs
+++ b/replication/src/options.rs
@@ -15,7 +15,7 @@
     pub expiry_us: Micros,
     /// The maximum number of logs. Each epoch of a writer is a log.
     pub max_logs: usize,
-    /// The interval between digests.
+    /// The interval at which a replica sends a digest to a random peer, in microseconds.
     pub digest_period_us: Micros,
     /// The maximum number of entries sent in reply to one range request of a peer.
     pub max_entries_per_range: usize,
@@ -29,7 +29,7 @@
     pub gap_request_us: Micros,
     /// The number of other machines that must acknowledge an entry before its commit is confirmed.
     pub min_acks: usize,
-    /// The number of other machines that each entry is eventually replicated to.
+    /// The number of other machines to which each entry is replicated eventually.
     pub replication_factor: usize,
     /// The time after which a pending commit is rejected.
     pub commit_timeout_us: Micros,
@@ -98,9 +98,9 @@
     pub out_of_order: u64,
     /// Entries and logs rejected because the capacity is exceeded.
     pub rejected: u64,
-    /// Commits confirmed.
+    /// Commits that were confirmed, because the required number of other machines acknowledged them.
     pub committed: u64,
-    /// Commits rejected.
+    /// Commits that were rejected; see `RejectReason`.
     pub commits_rejected: u64,
     /// Purges moved to the compact table.
     pub compacted: u64,
@@ -108,7 +108,7 @@
     pub snapshots_offered: u64,
     /// Snapshot chunks sent to peers.
     pub snapshot_chunks_sent: u64,
-    /// Snapshots received completely.
+    /// Snapshots of peers that this replica received completely.
     pub snapshots_received: u64,
     /// Snapshot transfers abandoned because the sender did not answer.
     pub snapshots_abandoned: u64,
--- a/replication/src/replica/catch_up.rs
+++ b/replication/src/replica/catch_up.rs
@@ -19,8 +19,8 @@
 const MAX_IMAGE_IDLE_PERIODS: u64 = 64;
 /// The maximum number of datagrams that request the entries after a snapshot from its sender.
 const MAX_REQUESTS_AFTER_SNAPSHOT: usize = 16;
-/// While a peer reads a snapshot, compaction is deferred until the maximum number of entries is exceeded by that number
-/// divided by this. The peer can then receive the entries after the snapshot without another snapshot.
+/// Divisor of the maximum number of entries. While a peer reads a snapshot, compaction is deferred until the maximum is
+/// exceeded by the result. The peer can then receive the entries after the snapshot without another snapshot.
 const MAX_DEFERRED_DIVISOR: usize = 2;
 
 /// A log that a snapshot advanced to a higher index.
@@ -35,9 +35,9 @@
 /// Snapshot offers to a peer since the peer last answered one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct UnansweredOffers {
-    /// The number of digest periods with an offer.
+    /// The number of digest periods in which an offer was sent.
     periods: u32,
-    /// The last period with an offer.
+    /// The number of the last digest period in which an offer was sent.
     last_period: u64,
 }
 
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Records a peer's durable indexes of this proxy's own logs. Indexes of other writers' logs are ignored.
+    /// Records a peer's durable indexes of this proxy's own logs. Indexes of other writers' logs are skipped.
     fn receive_ack(&mut self, from: usize, process: u64, positions: &[LogPosition]) {
         for LogPosition { log, index } in positions {
             if log.writer == self.own.writer {
@@ -95,7 +95,8 @@
             return received;
         }
         if positions.len() as u64 == log_count {
-            // The digest lists all of the peer's logs, so the peer has nothing of the logs that it does not list.
+            // The digest lists all of the peer's logs, so the peer has no entries of any log that is missing from the
+            // digest.
             let is_named = |log: &LogId| positions.iter().any(|named| named.log == *log);
             let logs = self.log_store.last_indexes().into_iter();
             let unknown = logs.map(|position| position.log).filter(|l| !is_named(l));
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -23,7 +23,7 @@
 /// The number of gap requests without any result after which gaps are requested at a lower rate.
 const MAX_FAST_GAP_REQUESTS: u32 = 16;
 
-/// The schedule of gap requests.
+/// The schedule of the requests for missing entries before buffered out-of-order entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct GapRequestTimer {
     due: Micros,
