--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -15,9 +15,9 @@
 pub enum Change {
     /// This member has started or stopped being the allocator of a group.
     Leader {
-        /// The index of the group.
+        /// The index of the group of budgets.
         group: usize,
-        /// Whether it is the allocator now.
+        /// Whether this member is the allocator now.
         leads: bool,
     },
     /// This member's lease of a budget has expired, so that only the reserved minimum is left, or it has a lease again.
@@ -180,8 +180,8 @@
             .is_some_and(|election| election.leads(now))
     }
 
-    /// Returns the allocator of a group if this member knows it, otherwise the member that is expected to become the
-    /// allocator.
+    /// Returns the allocator of a group if this member has learnt which member it is, otherwise the member that is
+    /// expected to become the allocator.
     pub fn allocator(&self, now: Micros, group: usize) -> MemberIndex {
         self.elections
             .get(group)
@@ -217,7 +217,7 @@
         budget % self.elections.len()
     }
 
-    /// Returns the counters since the start.
+    /// Returns the counts of granted, accepted, stale and misdirected leases and requests since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
@@ -336,7 +336,8 @@
         let Some(spec) = self.spec(request.budget) else {
             return;
         };
-        // Amounts that are spent at the end of the lease must also settle before the votes expire.
+        // Amounts that are spent at the end of the lease remain unsettled for the settling time, and the votes must not
+        // expire before that.
         let settling_us = self.options.extended_by_drift(spec.settling_us);
         let votes_until = self.elections[group].majority_until();
         let max_until = votes_until.saturating_sub(settling_us);
--- a/discovery/src/evidence.rs
+++ b/discovery/src/evidence.rs
@@ -61,7 +61,7 @@
     Cached,
     /// The source with this name has removed the cache, while another source still lists it.
     RemovedBySource(String),
-    /// The cache with this id has taken over the address.
+    /// Another cache, with this id, now uses the address.
     AddressTaken(String),
     /// The cache was lost and returned too often; it is reused once its penalty has decayed.
     Flapping,
@@ -191,8 +191,8 @@
         /// The source that reports the other cache.
         source: SourceId,
     },
-    /// Two caches are reported at the same address. The cache that was first reported there most recently gets the
-    /// address.
+    /// Two caches are reported at the same address. The cache whose reports at this address began most recently gets
+    /// the address.
     DuplicateAddress {
         /// Id of the newly reported cache.
         uid: String,
--- a/purges/src/bucket.rs
+++ b/purges/src/bucket.rs
@@ -26,7 +26,7 @@
 impl Fingerprint {
     const MASK: u64 = (1 << FINGERPRINT_BITS) - 1;
 
-    /// Returns the fingerprint of a key.
+    /// Takes the low `FINGERPRINT_BITS` bits of the hash of a key.
     pub const fn of(key: KeyHash) -> Self {
         Fingerprint(key.value() & Self::MASK)
     }
@@ -218,7 +218,7 @@
 pub enum DecodeError {
     /// The number of bytes does not match the number of slots.
     Length {
-        /// The number of bytes.
+        /// The number of bytes that were to be decoded.
         bytes: usize,
     },
     /// The number of occupied slots exceeds the size of a bucket.
--- a/replication/src/snapshot/mod.rs
+++ b/replication/src/snapshot/mod.rs
@@ -20,12 +20,12 @@
 pub(crate) use sender::{Image, ImageReader};
 pub(crate) use transfer::CompleteSnapshot;
 
-/// A position in a snapshot.
+/// A position in a snapshot, from which a transfer can continue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SnapshotCursor {
     /// Before the compacted index of this log.
     Log(LogId),
-    /// Before this bucket.
+    /// Before this bucket of the compact table.
     Bucket(BucketIndex),
     /// Before the entry of a log at an index.
     Entry {
@@ -53,7 +53,7 @@
 /// An offer of a snapshot to a receiver that is behind the sender's compacted indexes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotOffer {
-    /// The sender's process id.
+    /// The process id of the sender of the snapshot.
     pub process: u64,
     /// The number of the sender's compacted logs.
     pub compacted_log_count: u64,
@@ -98,7 +98,7 @@
 /// A part of a snapshot that fits into a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotChunk {
-    /// The sender's process id.
+    /// The process id of the sender of the snapshot.
     pub process: u64,
     /// The number of the image that the chunk was read from.
     pub image: u64,
--- a/simnet/src/links.rs
+++ b/simnet/src/links.rs
@@ -12,7 +12,7 @@
 /// The delay of datagrams, and the shares of them that are lost, duplicated or reordered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkConditions {
-    /// The minimum delay.
+    /// The fixed part of the delay in microseconds, to which the spread and the jitter are added.
     pub delay_us: Micros,
     /// The maximum additional delay that is constant for each link and differs between links.
     pub spread_us: Micros,
@@ -22,7 +22,8 @@
     pub loss_ppm: u64,
     /// The share of duplicated datagrams, in parts per million.
     pub duplication_ppm: u64,
-    /// The share of datagrams with twice the minimum delay, which later ones overtake, in parts per million.
+    /// The share of datagrams whose fixed delay is doubled, so that later datagrams overtake them, in parts per
+    /// million.
     pub reordering_ppm: u64,
 }
 
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -19,7 +19,7 @@
     pub group: u64,
     /// Size of the requested part in KB; 0 if unknown.
     pub size_kb: f64,
-    /// Time until the client's deadline.
+    /// Remaining time until the client's deadline, in microseconds.
     pub remaining_us: Micros,
     /// The client marked the request as a retry.
     pub is_retry: bool,
@@ -38,14 +38,14 @@
     Timeout,
     /// The connection was refused; the request did not run.
     ConnectFailed,
-    /// No connection was established in time, although none was refused. The request did not run, and the server's
-    /// process may be running.
+    /// No connection was established within the timeout, although none was refused. The request did not run, and the
+    /// server's process may be running.
     Unreached,
     /// The connection was reset; the request may have run.
     Reset,
     /// The router cancelled the attempt; the request may have run.
     Cancelled,
-    /// The attempt was not executed, and this says nothing about the health of its server.
+    /// The attempt was not executed, for a reason that does not indicate whether its server is healthy.
     Moot,
     /// The cache has no usable copy and did not fill one.
     Miss,
@@ -54,9 +54,9 @@
 /// How the answer was produced, or why a fill failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// The answer did not say.
+    /// The answer did not contain this detail.
     None,
-    /// A cache hit.
+    /// The server answered from its cache.
     Hit,
     /// A miss that was filled from the source's copy.
     Filled,
@@ -92,7 +92,7 @@
 /// A router's lease on a shared budget. A router without a lease uses an equal share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
-    /// The leased budget.
+    /// The shared budget of which the router has leased a part.
     pub budget: Budget,
     /// Amount that may be used before `until`, including the reserved minimum.
     pub amount: f64,
@@ -168,7 +168,7 @@
     OriginShareLimit {
         /// Maximum share of the requests that may reach the origin.
         origin_share: f64,
-        /// Validity of the limit.
+        /// Time for which the limit applies, from the time of the event.
         valid_for_us: Micros,
     },
     /// A lease on a shared budget, which takes effect immediately. If more requests are in flight than it allows, none
@@ -176,7 +176,7 @@
     Lease(Lease),
     /// An object, or a whole group if no object is given, was purged.
     Purged {
-        /// The purged object.
+        /// The purged object; `None` if the whole group was purged.
         object: Option<String>,
         /// Group of the object, or the purged group.
         group: u64,
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -18,7 +18,8 @@
 pub enum Format {
     /// Log entries only. This is the format of new files.
     Entries,
-    /// Log entries and the compact table of older purges, which programs that only know `Entries` must not ignore.
+    /// Log entries and the compact table of older purges. This is a separate format so that older versions, which
+    /// support only `Entries`, refuse to open the file instead of skipping the table.
     Compacted,
 }
 
@@ -34,8 +35,8 @@
         }
     }
 
-    /// Returns the write that sets this format. A file must never be set to an older format, as programs that support
-    /// only that format would ignore the rest of the file.
+    /// Returns the write that sets this format. A file must never be set to an older format, because programs that
+    /// support only that format would skip the rest of the file.
     pub fn write(self) -> Write {
         Write::put(HEADER, FORMAT_KEY.to_vec(), self.name().into())
     }
@@ -49,7 +50,7 @@
 
 /// The keyspace that contains the name of the format.
 const HEADER: Keyspace = Keyspace("head");
-/// The key of the name of the format.
+/// The key in `HEADER` under which the name of the format is stored.
 const FORMAT_KEY: &[u8] = b"format";
 
 /// A named set of keys in the file, which is separate from all other keyspaces.
@@ -65,9 +66,9 @@
 /// The operation of a write on its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Sets the value.
+    /// Stores this value under the key, replacing any previous value.
     Put(Vec<u8>),
-    /// Removes the key.
+    /// Removes the key and its value, if the key exists.
     Remove,
     /// Removes the key if it has this value when the write is applied.
     RemoveIf(Vec<u8>),
@@ -78,7 +79,7 @@
 pub struct Write {
     /// The keyspace of the key.
     pub keyspace: Keyspace,
-    /// The key.
+    /// The key within its keyspace, copied out of the store file.
     pub key: Vec<u8>,
     /// The operation on the key.
     pub change: Change,
@@ -136,7 +137,7 @@
 pub struct KeyValue {
     /// The key.
     pub key: Vec<u8>,
-    /// The value.
+    /// The value stored under the key, copied out of the store file.
     pub value: Vec<u8>,
 }
 
