--- a/daemon/src/config/error.rs
+++ b/daemon/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the configuration.
+//! Errors of reading and validating the configuration.
 
 use crate::interconnect::InterconnectError;
 use linnetknot::SettingsError;
@@ -55,7 +55,7 @@
     /// A limit of the machine is 0.
     #[error("field 'limits.{key}' must not be 0")]
     ZeroLimit {
-        /// The key within `limits`.
+        /// The key of the rejected setting within `limits`.
         key: &'static str,
     },
     /// An error in the operators' own file.
--- a/daemon/src/config/mod.rs
+++ b/daemon/src/config/mod.rs
@@ -22,7 +22,7 @@
 /// A function that returns the configuration. It is called again on SIGHUP.
 pub type Source = Box<dyn Fn() -> Result<Config, ConfigError>>;
 
-/// The operators' own file, unless the environment names another.
+/// The default path of the operators' own file. An environment variable can set another path.
 const DEFAULT_INTERCONNECT_PATH: &str = "deploy/interconnect.json";
 /// The file descriptors and the memory of a machine if the configuration does not state them.
 const DEFAULT_DESCRIPTORS: usize = 1024;
@@ -39,7 +39,7 @@
     pub admin: Option<SocketAddr>,
     /// The folder in which the operators' bans and drains are stored for the next process, `$TMPDIR`.
     pub operator_state_folder: PathBuf,
-    /// The seed of the random numbers.
+    /// The seed of the random number generator of the daemon.
     pub seed: u64,
     /// The limits, derived from the machine and the settings.
     pub limits: Limits,
@@ -65,7 +65,7 @@
     pub consul: Option<Consul>,
     /// The location and the maximum age of state that outlives the process.
     pub state: State,
-    /// The format of the log.
+    /// The format of the log lines of the daemon.
     pub log: LogForm,
 }
 
--- a/daemon/src/core/request.rs
+++ b/daemon/src/core/request.rs
@@ -6,7 +6,7 @@
 /// The key of an open request.
 pub type RequestKey = Key;
 
-/// The destination of an answer: a connection of a front, and the number of the request on it.
+/// The destination of an answer: a client connection, and the number of the request on that connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Client {
     /// The connection.
--- a/daemon/src/core/requests.rs
+++ b/daemon/src/core/requests.rs
@@ -5,7 +5,7 @@
 use linnetknot::{Event, Micros, Outcome, Request};
 
 impl Core {
-    /// Admits a request. Returns `None` if the front has to reject it: the table is full, an open request has the same
+    /// Admits a request. Returns `None` if the caller has to reject it: the table is full, an open request has the same
     /// id, or the class requires an idempotency key and the request has none.
     pub fn admit(
         &mut self,
--- a/daemon/src/daemon/budgets/faults.rs
+++ b/daemon/src/daemon/budgets/faults.rs
@@ -13,7 +13,7 @@
     false
 }
 
-/// Whether the allocator ignores the reserved minimums when it divides the limit.
+/// Whether the allocator divides the limit without regard to the reserved minimums.
 pub(super) fn forgets_reserved() -> bool {
     fail::fail_point!("plant-floors", |_| true);
     false
--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -1,4 +1,4 @@
-//! The CDNI front: serves the requests of peer CDNs and redirected clients, and delivers payloads to peer CDNs.
+//! The CDNI listener: serves the requests of peer CDNs and redirected clients, and delivers payloads to peer CDNs.
 
 use super::commits::CdniResponse;
 use super::exchange::{Exchange, ExchangeEnd, Flow, Task};
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Returns the reply to a request; `None` without a CDNI front.
+    /// Returns the reply to a request; `None` if CDNI is not configured.
     fn cdni_reply(&mut self, now: Micros, head: &Head, body: &[u8]) -> Option<Reply> {
         let ready = self.can_serve();
         let (_, trigger_api) = self.cdni.as_mut()?;
--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Adds an accepted connection of either front to the table, after closing the evicted one.
+    /// Adds an accepted FastCGI or CDNI connection to the table, after closing the evicted connection.
     pub(in crate::daemon) fn add_client(
         &mut self,
         now: Micros,
--- a/daemon/src/daemon/clients/mod.rs
+++ b/daemon/src/daemon/clients/mod.rs
@@ -9,7 +9,7 @@
 use linnetknot::Micros;
 
 impl Daemon {
-    /// Returns the state of a client connection of either front; `None` for other connections.
+    /// Returns the state of a FastCGI or CDNI client connection; `None` for other connections.
     fn client_state(connection: &Connection) -> Option<ClientState> {
         let (is_busy, is_partial, has_request) = match &connection.kind {
             ConnectionKind::Client(session) => (
--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients on the FastCGI front and their responses.
+//! Requests of clients on the FastCGI listener and their responses.
 
 use crate::core::{Answer, Client, ClientRequest};
 use crate::daemon::{Connection, ConnectionKind, Daemon};
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -106,7 +106,7 @@
             return self.finish_commit(now, response, Ok(()));
         }
         match last {
-            // Nothing was appended.
+            // The command appended no log entry, so there is no commit to wait for.
             Ok(None) => self.finish_commit(now, response, Ok(())),
             Ok(Some(index)) => self.open_commit(now, index, response),
             Err(e) => self.finish_commit(now, response, Err(e.into())),
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -38,7 +38,7 @@
 pub(super) struct OperatorResponse {
     /// The connection that waits for the response.
     pub(super) connection: Key,
-    /// The reply if the call is committed.
+    /// The reply to the operator if the call is committed.
     reply: Reply,
     /// The decision; `None` if the call changed nothing.
     decision: Option<OperatorDecision>,
@@ -176,7 +176,8 @@
         Ok(())
     }
 
-    /// Restores the operators' decisions from the log, and appends those that are only in the stored operators' state.
+    /// Restores the bans and drains of the operators from the log. Those found only in the local operator state file
+    /// are appended to the log.
     pub(in crate::daemon) fn restore_decisions(&mut self, now: Micros) {
         self.apply_decisions(now);
         if self.lacks_store() {
--- a/daemon/src/daemon/commits/triggers.rs
+++ b/daemon/src/daemon/commits/triggers.rs
@@ -53,7 +53,7 @@
         Ok(Some(index))
     }
 
-    /// Deletes the trigger of a command whose commit failed. Returns the response; `None` without a CDNI front.
+    /// Deletes the trigger of a command whose commit failed. Returns the response; `None` if CDNI is not configured.
     pub(super) fn reject_trigger(
         &mut self,
         now: Micros,
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -25,7 +25,7 @@
     ConnectTimeout(Key),
     /// Checks a connection to a cache server: removes finished streams and writes pending output.
     CheckCacheConnection(Key),
-    /// Runs a task.
+    /// Runs a task when the timer expires.
     Run(Task),
     /// Writes a deferred response and reads the next request of the connection.
     ResumeConnection(Key),
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a client connection of either front.
+//! The life cycle of a client connection of both listener types (FastCGI and CDNI).
 //!
 //! | state | meaning | next states |
 //! | --- | --- | --- |
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -8,7 +8,7 @@
 //! | `signals`, `reload` | SIGTERM and SIGHUP, and reloading the configuration |
 //! | `shutdown` | the graceful shutdown |
 //!
-//! Each of the other modules implements one front, one upstream or one feature of [`Daemon`].
+//! Each of the other modules implements one client protocol, one upstream or one feature of [`Daemon`].
 
 use crate::config::{Config, Source};
 use crate::core::Core;
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams from and to the other proxies.
+//! Receives and sends the datagrams exchanged with the other proxies.
 
 use crate::core::TRACE;
 use crate::daemon::Daemon;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Reports to the other proxies that the origin is slow for this one.
+    /// Reports to the other proxies that the origin responds slowly to this proxy.
     pub(in crate::daemon) fn share_origin_health(&mut self, now: Micros, share: f64) {
         let Some(datagram) = self
             .origin_health
--- a/daemon/src/daemon/startup/error.rs
+++ b/daemon/src/daemon/startup/error.rs
@@ -15,7 +15,7 @@
     Bind {
         /// The key in the configuration.
         key: &'static str,
-        /// The configured address.
+        /// The configured address that could not be bound.
         address: SocketAddr,
         /// The error of binding the address.
         source: io::Error,
@@ -31,7 +31,7 @@
     /// The inherited listener can't be taken over.
     #[error("ROUTER_SOCKET_FD: descriptor {descriptor}: {source}")]
     InheritListener {
-        /// The descriptor from the environment.
+        /// The descriptor number given in `ROUTER_SOCKET_FD`.
         descriptor: u32,
         /// The error of taking over the descriptor.
         source: io::Error,
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -30,7 +30,7 @@
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
 
-/// The ledger and its store, if the CDNI front has one.
+/// The ledger and its store, if the CDNI listener is configured with a store.
 #[derive(Default)]
 struct StoreParts {
     ledger: Option<Ledger>,
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Binds the listener of the CDNI front, if configured.
+/// Binds the listener for requests of peer CDNs (CDNI), if configured.
 pub(super) fn open_cdni(
     config: &Config,
     poll: &Poll,
@@ -114,7 +114,7 @@
     Ok(Some((listener, trigger_api)))
 }
 
-/// Binds the socket for datagrams of peers, if purges of the CDNI front or the health of the origin are shared.
+/// Binds the socket for datagrams of peers, if purges by peer CDNs or the health of the origin are shared.
 pub(super) fn open_peers(
     config: &Config,
     poll: &Poll,
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -16,7 +16,7 @@
 use std::thread;
 
 const MIN_RETRY_US: Micros = 100_000;
-/// The longest backoff, before jitter.
+/// The longest backoff between two attempts to open the store, in microseconds, before jitter.
 const MAX_RETRY_US: Micros = 2_000_000;
 
 /// The maximum number of plain purges (from peers that do not replicate logs) that are buffered until the store is
--- a/daemon/src/daemon/turn/tests.rs
+++ b/daemon/src/daemon/turn/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the timing of a turn.
+//! Tests of the timing of a turn of the event loop.
 
 use super::{Turn, MAX_WAIT_US};
 use linnetknot::Micros;
 
 const MS: Micros = 1_000;
 const START: Micros = 1_000 * MS;
-/// The largest delay that may go undetected.
+/// The largest delay of a turn that may go undetected, in microseconds.
 const MAX_UNDETECTED_DELAY_US: Micros = 150 * MS;
 
 /// Checks the estimated delay when the process is stopped during a wait and input arrives right after the stop begins.
--- a/daemon/src/disk.rs
+++ b/daemon/src/disk.rs
@@ -15,7 +15,7 @@
 pub struct WriteJob {
     /// The path of the file.
     pub path: PathBuf,
-    /// The new content.
+    /// The bytes that replace the whole content of the file.
     pub bytes: Vec<u8>,
 }
 
@@ -29,7 +29,7 @@
 /// The capacity of the queue of jobs.
 const MAX_QUEUED_JOBS: usize = 2;
 
-/// The first backoff after a failed attempt.
+/// The backoff after the first failed attempt to write a file, in microseconds, before jitter.
 const MIN_RETRY_US: Micros = 100_000;
 /// The longest backoff between two attempts, before jitter.
 const MAX_RETRY_US: Micros = 2_000_000;
--- a/daemon/src/fail_points/error.rs
+++ b/daemon/src/fail_points/error.rs
@@ -25,7 +25,7 @@
     SystemCall {
         /// The part of the variable at fault.
         part: String,
-        /// The reason.
+        /// Why the value was rejected.
         reason: String,
     },
     /// The crate `fail` rejected an action.
--- a/daemon/src/front/cdni/effect.rs
+++ b/daemon/src/front/cdni/effect.rs
@@ -27,14 +27,14 @@
     pub path: String,
     /// The CDNI type of the payload, which becomes part of its media type.
     pub ptype: &'static str,
-    /// The payload as text.
+    /// The payload to be delivered, as text.
     pub body: String,
 }
 
 /// How a request is handled.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// Respond now.
+    /// Send the response immediately.
     Respond(Response),
     /// Respond once the effects are committed. If the commit fails, the trigger is removed, and the response is that of
     /// [`super::TriggerApi::retract`].
--- a/daemon/src/front/cdni/mod.rs
+++ b/daemon/src/front/cdni/mod.rs
@@ -55,7 +55,7 @@
     pub base: String,
     /// The footprint of this CDN, as IPv4 networks.
     pub footprint: Vec<footprint::Network>,
-    /// The peer CDNs.
+    /// The configured peer CDNs.
     pub peers: Vec<PeerCdn>,
     /// The classes whose objects may be requested from this CDN, with the deadlines of their requests.
     pub classes: Vec<(String, Micros)>,
--- a/daemon/src/front/cdni/response.rs
+++ b/daemon/src/front/cdni/response.rs
@@ -1,4 +1,4 @@
-//! HTTP responses of the CDNI front.
+//! HTTP responses to peer CDNs and redirected clients.
 
 use super::MEDIA;
 use crate::core::{Answer, Content};
@@ -7,11 +7,11 @@
 /// An HTTP response to a peer CDN or a redirected client.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Response {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
     /// The headers, except those about the connection and the length of the body.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// The body of the HTTP response.
     pub body: Vec<u8>,
 }
 
--- a/daemon/src/front/cdni/triggers/id.rs
+++ b/daemon/src/front/cdni/triggers/id.rs
@@ -1,4 +1,4 @@
-//! The ids of triggers.
+//! The ids of triggers, unique among all proxies.
 
 use std::fmt;
 
--- a/daemon/src/front/cdni/triggers/mod.rs
+++ b/daemon/src/front/cdni/triggers/mod.rs
@@ -169,7 +169,7 @@
         own.count()
     }
 
-    /// Removes a trigger.
+    /// Removes a trigger and its status resource.
     pub(super) fn remove(&mut self, name: TriggerId) {
         self.triggers.remove(&name);
     }
--- a/daemon/src/front/fastcgi/output.rs
+++ b/daemon/src/front/fastcgi/output.rs
@@ -12,7 +12,7 @@
 
 /// A queued message, which is written as one or more records.
 enum Message {
-    /// A management record.
+    /// A management record, encoded with its header.
     Management(Vec<u8>),
     /// The response to a request.
     Response {
@@ -27,7 +27,7 @@
 
 /// The result of writing a message.
 enum Written {
-    /// Nothing fits now.
+    /// The buffer has no space for the next record.
     Blocked,
     /// Part of the message was written.
     Part,
--- a/daemon/src/front/fastcgi/session.rs
+++ b/daemon/src/front/fastcgi/session.rs
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Rejects the incomplete requests to free their memory, and ignores their remaining records.
+    /// Rejects the incomplete requests to free their memory. Their remaining records are discarded.
     pub fn reject_partial(&mut self, retry_after_us: Option<u64>) {
         let partial = self.streams.iter().filter(|(_, s)| !s.is_waiting());
         let mut partial: Vec<u16> = partial.map(|(id, _)| *id).collect();
--- a/daemon/src/front/mod.rs
+++ b/daemon/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! The fronts: each translates between a client protocol and the requests and answers of the core.
+//! Fronts are the client-facing protocols: each translates between its protocol and the requests and answers of the
+//! core.
 
 pub mod cdni;
 pub mod fastcgi;
--- a/daemon/src/ledger/legacy.rs
+++ b/daemon/src/ledger/legacy.rs
@@ -16,7 +16,7 @@
 /// The content of an earlier version's file.
 #[derive(Debug, Default)]
 pub(super) struct LegacyFile {
-    /// Log entries.
+    /// The log entries stored in the file.
     pub(super) entries: Vec<Entry>,
     /// Purges that belong to no log, as stored by the first version.
     pub(super) purges: Vec<Purge>,
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -54,7 +54,7 @@
     pub writer: Writer,
     /// The number of the trigger at that proxy.
     pub number: u64,
-    /// The status, as `front::cdni` encodes it.
+    /// The status of the trigger, as encoded by `front::cdni`.
     pub text: String,
 }
 
--- a/daemon/src/limits/machine.rs
+++ b/daemon/src/limits/machine.rs
@@ -5,7 +5,7 @@
 /// The memory that is assumed for a machine that states less.
 const MIN_MEMORY_MB: usize = 16;
 const MIN_MEMORY_BYTES: usize = MIN_MEMORY_MB << 20;
-/// The memory reserved for each open request.
+/// The memory reserved for each open request, in bytes.
 const REQUEST_BYTES: usize = 16 << 10;
 /// The maximum number of open requests, regardless of the memory.
 const MAX_REQUESTS: usize = 8192;
--- a/daemon/src/net/conn.rs
+++ b/daemon/src/net/conn.rs
@@ -42,7 +42,7 @@
     Broken,
 }
 
-/// Converts the result of a transfer. `none` is returned if no bytes were transferred.
+/// Converts the result of a read or write to a `Progress`; `none` is returned if no bytes were transferred.
 fn progress(result: Result<usize, Failure>, none: Progress) -> Progress {
     match result.map_err(|failure| failure.kind) {
         Ok(0) => none,
--- a/daemon/src/net/injection.rs
+++ b/daemon/src/net/injection.rs
@@ -152,7 +152,7 @@
 
     type Plans = BTreeMap<Call, Plan>;
 
-    /// The plans of the process, set by the environment.
+    /// The plans of the process, read from an environment variable.
     static PROCESS: OnceLock<Plans> = OnceLock::new();
 
     thread_local! {
--- a/daemon/src/net/listener.rs
+++ b/daemon/src/net/listener.rs
@@ -33,7 +33,7 @@
         })
     }
 
-    /// Returns the address that it listens on.
+    /// Returns the local address of the listening socket.
     pub fn address(&self) -> Option<SocketAddr> {
         self.socket.local_addr().ok()
     }
--- a/daemon/src/net/slots.rs
+++ b/daemon/src/net/slots.rs
@@ -70,7 +70,7 @@
         self.len() * 2 >= self.max
     }
 
-    /// Adds an entry.
+    /// Adds an entry to a free slot.
     ///
     /// # Errors
     /// Returns the entry if the table is full.
--- a/daemon/src/upstream/stream.rs
+++ b/daemon/src/upstream/stream.rs
@@ -97,7 +97,7 @@
 /// The result of an aborted attempt that is not reported yet.
 pub(super) struct PendingEnd {
     pub(super) attempt: AttemptId,
-    /// The result to report to the core.
+    /// The result of the attempt, to be reported to the core.
     pub(super) result: AttemptResult,
     /// The offset on the connection at which the abort frame ends; `None` while the abort is queued.
     pub(super) end_offset: Option<u64>,
--- a/daemon/src/wire/mod.rs
+++ b/daemon/src/wire/mod.rs
@@ -30,7 +30,7 @@
 
 /// A parser that can be called again whenever more bytes arrive.
 pub trait Parser {
-    /// The parsed item.
+    /// The type of a parsed item, such as a message or a record.
     type Item;
     /// Consumes bytes from the front of `input`, at most those of the next item. Returns the number of bytes consumed,
     /// and the item if it is complete. If the item is incomplete, all of the input was consumed.
--- a/daemon/src/wire/sse.rs
+++ b/daemon/src/wire/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events.
+//! A parser for streams of server-sent events.
 
 use super::{take_line, Parser, WireError};
 
