--- a/daemon/src/budgets.rs
+++ b/daemon/src/budgets.rs
@@ -12,7 +12,7 @@
 /// The status of the budgets of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The name of the proxy.
+    /// The name of the proxy that reports this status.
     pub name: String,
     /// The number of configured proxies. A minimum of each budget is reserved for each of them.
     pub members: usize,
--- a/daemon/src/bus.rs
+++ b/daemon/src/bus.rs
@@ -61,7 +61,7 @@
     })
 }
 
-/// Parses an event.
+/// Parses an event of the event bus from its JSON value.
 pub fn read_event(value: &Value) -> Result<BusEvent> {
     let m = value.as_object().ok_or("an event is not an object")?;
     let update = if get(m, "topology").is_some() {
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -23,7 +23,7 @@
 pub(super) struct CdniResponse {
     /// The connection that waits for the response.
     pub(super) connection: Key,
-    /// The response if the command is committed.
+    /// The response that is sent if the command is committed.
     pub(super) response: Response,
     /// The trigger that the command created, if any.
     pub(super) trigger: Option<TriggerId>,
--- a/daemon/src/daemon/exchange.rs
+++ b/daemon/src/daemon/exchange.rs
@@ -38,7 +38,7 @@
 pub(super) trait Exchange {
     /// Returns the bytes to write once the connection is established.
     fn initial_bytes(&self) -> Vec<u8>;
-    /// Consumes all of `input`.
+    /// Processes all received bytes in `input`. Tasks to be run by the daemon are added to `tasks`.
     fn read(&mut self, input: &[u8], tasks: &mut Vec<Task>) -> Result<Flow, WireError>;
     /// Called if the connection ends before `Flow::Done`. Returns a task to run, if any.
     fn on_ended(self: Box<Self>, end: ExchangeEnd) -> Option<Task>;
--- a/daemon/src/daemon/reconnect.rs
+++ b/daemon/src/daemon/reconnect.rs
@@ -13,7 +13,7 @@
 #[derive(Default)]
 pub(super) struct DeferredAttempts {
     attempts: Vec<AttemptId>,
-    /// Whether a retry is scheduled.
+    /// Whether a retry of the deferred attempts is scheduled.
     retry_scheduled: bool,
     /// Caches to which no connection could be opened since the last retry.
     failed: BTreeSet<ServerId>,
--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -25,7 +25,7 @@
         self.schedule_registration_retry(now, key, result)
     }
 
-    /// Updates the registered interest of a connection.
+    /// Updates the events for which epoll watches a connection.
     pub(super) fn update_interest(&mut self, now: Micros, key: Key) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
--- a/daemon/src/daemon/signals.rs
+++ b/daemon/src/daemon/signals.rs
@@ -35,7 +35,7 @@
 /// A self-pipe: a signal handler or another thread writes to it, and the event loop watches it. A pair of Unix sockets
 /// is not used, because some environments allow only TCP and UDP sockets.
 pub(super) struct Signal {
-    /// The end that the event loop watches.
+    /// The read end of the pipe, which the event loop watches.
     pub(super) reader: OwnedFd,
     pub(super) writer: OwnedFd,
 }
--- a/daemon/src/daemon/startup/error.rs
+++ b/daemon/src/daemon/startup/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the start of the daemon.
+//! Errors that prevent the daemon from starting.
 
 use crate::net::Failure;
 use linnetknot::SettingsError;
@@ -13,7 +13,7 @@
     /// An address of the configuration can't be bound.
     #[error("{key}: {address}: {source}")]
     Bind {
-        /// The key in the configuration.
+        /// The configuration key that contains the address.
         key: &'static str,
         /// The configured address that could not be bound.
         address: SocketAddr,
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -39,7 +39,7 @@
 }
 
 impl StoreParts {
-    /// Opens the configured store, if any.
+    /// Opens the store of the ledger, if one is configured.
     fn open(config: &Config, poll: &Poll, clock: &Clock) -> Result<Self, StartError> {
         let path = config.cdni.as_ref().and_then(|cdni| cdni.purges.clone());
         let Some(path) = path else {
@@ -162,7 +162,7 @@
 }
 
 impl Daemon {
-    /// Binds the sockets and applies the bus events in the configuration. On SIGHUP, `source` is called for a new
+    /// Binds the sockets and applies the bus events in the configuration. On SIGHUP, `source` is called to load a new
     /// configuration.
     ///
     /// # Errors
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -23,7 +23,7 @@
 /// open.
 const MAX_BUFFERED_PURGES: usize = 4_096;
 
-/// The parameters for opening a store.
+/// The parameters for opening the store of a ledger.
 #[derive(Clone, Debug)]
 pub(super) struct StoreConfig {
     pub(super) path: PathBuf,
@@ -99,7 +99,7 @@
     store: StoreConfig,
     /// When the process started, from which its incarnation is derived.
     started: Micros,
-    /// Why the last attempt failed.
+    /// Why the last attempt to open the store failed.
     reason: String,
     backoff: Backoff,
     /// The channel that receives the result of the current attempt to open the store.
@@ -119,12 +119,12 @@
         }
     }
 
-    /// Returns why the last attempt failed.
+    /// Returns why the last attempt to open the store failed.
     pub(super) fn reason(&self) -> &str {
         &self.reason
     }
 
-    /// Starts an attempt on a separate thread, which raises the signal when it is done.
+    /// Starts an attempt to open the store on a separate thread, which raises the signal when the attempt is done.
     fn start_attempt(&mut self, signal: &Signal) -> std::io::Result<()> {
         let (synced, opened) = (signal.waker()?, signal.waker()?);
         let (store, started) = (self.store.clone(), self.started);
@@ -141,7 +141,7 @@
         Ok(())
     }
 
-    /// Records a failed attempt. Returns when the next one is due.
+    /// Records a failed attempt to open the store. Returns the time of the next attempt.
     fn record_failure(&mut self, now: Micros, reason: String) -> Micros {
         // A reason is logged only when it changes, because a disk may stay full for a long time.
         if self.reason != reason {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Schedules the first attempt after startup.
+    /// Schedules the first retry of opening the store after startup.
     pub(super) fn schedule_store_opening(&mut self, now: Micros) {
         if let Some(pending) = &mut self.pending_store {
             let due = now + pending.backoff.next_delay();
--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Sends an attempt on a connection to its cache server.
+    /// Selects or opens a connection to the cache server of an attempt, and sends the attempt.
     pub(super) fn send_attempt(&mut self, now: Micros, attempt: AttemptId) {
         let Some(dispatch) = self.core.dispatch(attempt) else {
             return;
--- a/daemon/src/daemon/upstream_connections/selection.rs
+++ b/daemon/src/daemon/upstream_connections/selection.rs
@@ -10,7 +10,7 @@
 
 /// The connection that was selected for an attempt.
 pub(super) enum Selection {
-    /// Use an existing connection.
+    /// Send the attempt on an existing connection.
     Use {
         key: Key,
         /// Whether to also open a spare connection for later attempts.
--- a/daemon/src/front/cdni/api.rs
+++ b/daemon/src/front/cdni/api.rs
@@ -1,4 +1,4 @@
-//! Handles the requests of the CDNI front: triggers, redirection, footprints and capabilities, and content.
+//! Handles the requests received over CDNI: triggers, redirection, footprints and capabilities, and content.
 
 use super::content::{content_request, path_of, ContentPath};
 use super::footprint::Network;
--- a/daemon/src/front/cdni/content.rs
+++ b/daemon/src/front/cdni/content.rs
@@ -10,7 +10,7 @@
 /// The path of a content URL.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContentPath<'a> {
-    /// The name of the class.
+    /// The name of the class that contains the object.
     pub class: &'a str,
     /// The key of the object.
     pub object: &'a str,
--- a/daemon/src/front/cdni/mod.rs
+++ b/daemon/src/front/cdni/mod.rs
@@ -1,4 +1,4 @@
-//! The CDNI front: interconnection with peer CDNs over HTTP/1.1.
+//! The CDNI protocol: interconnection with peer CDNs over HTTP/1.1.
 //!
 //! [`TriggerApi`] handles the requests that need no cache: triggers (RFC 8007), redirection (RFC 7975), footprints and
 //! capabilities (RFC 8008). It converts requests for content to requests for the core.
@@ -6,7 +6,7 @@
 //! * `session`: the state of a connection;
 //! * `api`: the dispatch to the interfaces; `effect`: the effects of requests;
 //! * `content`, `triggers`, `redirect`, `footprint`: the interfaces;
-//! * `response`: the responses.
+//! * `response`: the HTTP responses.
 
 mod api;
 mod content;
--- a/daemon/src/front/cdni/redirect.rs
+++ b/daemon/src/front/cdni/redirect.rs
@@ -80,7 +80,7 @@
 }
 
 impl<'a> RedirectRequest<'a> {
-    /// Parses a request.
+    /// Parses the JSON payload of a redirection request.
     fn read(id: &Identity, request: &'a Value) -> Result<Self, Rejection> {
         let cdn_path = read_cdn_path(id, request)?;
         if request["dns"].is_object() {
--- a/daemon/src/front/cdni/session.rs
+++ b/daemon/src/front/cdni/session.rs
@@ -31,7 +31,7 @@
     written: usize,
     /// Whether any request has been received in full.
     has_received_request: bool,
-    /// Whether a request is incomplete.
+    /// Whether only part of a request has been received.
     is_partial: bool,
 }
 
@@ -76,7 +76,7 @@
         self.waiting.is_none() && self.out.is_empty()
     }
 
-    /// Whether a request is incomplete.
+    /// Whether only part of a request has been received.
     pub fn is_partial(&self) -> bool {
         self.is_partial
     }
--- a/daemon/src/front/fastcgi/mod.rs
+++ b/daemon/src/front/fastcgi/mod.rs
@@ -1,4 +1,4 @@
-//! The FastCGI front, for clients that are web servers: converts FastCGI requests to requests for the core, and the
+//! The FastCGI protocol, for clients that are web servers: converts FastCGI requests to requests for the core, and the
 //! answers of the core to CGI responses.
 //!
 //! * `request`: the parameters of a request;
--- a/daemon/src/ledger/legacy.rs
+++ b/daemon/src/ledger/legacy.rs
@@ -10,7 +10,7 @@
 
 /// The prefixes by which files of earlier versions are recognized.
 const MAGICS: [&[u8]; 3] = [b"life ", b"copies1", b"purge "];
-/// The length of the longest prefix.
+/// The length of the longest prefix that identifies a format, in bytes.
 const MAX_MAGIC_BYTES: u64 = 8;
 
 /// The content of an earlier version's file.
@@ -23,7 +23,7 @@
 }
 
 impl LegacyFile {
-    /// Reads a file.
+    /// Reads a file that an earlier version has written.
     pub(super) fn read(path: &Path) -> Result<Self, LedgerError> {
         let error = |source| LedgerError::Legacy {
             path: path.to_owned(),
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -160,7 +160,7 @@
             .operator_decisions(self.replica.own_log().writer)
     }
 
-    /// Returns the replica.
+    /// Returns the replica, which exchanges the logs with the peers.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
--- a/daemon/src/limits/machine.rs
+++ b/daemon/src/limits/machine.rs
@@ -18,7 +18,7 @@
 /// other than client connections.
 const MIN_USUAL_DESCRIPTORS: usize = 64;
 const NON_CLIENT_DESCRIPTORS: usize = 40;
-/// The minimum and the maximum of `Limits::reserved_connections`.
+/// The smallest and the largest value of `Limits::reserved_connections`.
 const MIN_RESERVED_CONNECTIONS: usize = 2;
 const MAX_RESERVED_CONNECTIONS: usize = 24;
 
--- a/daemon/src/limits/mod.rs
+++ b/daemon/src/limits/mod.rs
@@ -205,7 +205,7 @@
     Silent,
     /// Part of a request has been received.
     Partial,
-    /// All requests are answered.
+    /// All received requests are answered.
     Idle,
     /// A request is in flight, or a response is being written.
     Busy,
--- a/daemon/src/net/conn.rs
+++ b/daemon/src/net/conn.rs
@@ -168,7 +168,7 @@
         progress
     }
 
-    /// Forgets that a frame could not be started. Called before frames are tried again.
+    /// Clears the mark that a frame could not be started. Called before frames are tried again.
     pub fn clear_blocked(&mut self) {
         self.blocked = false;
     }
--- a/daemon/src/net/deadlines.rs
+++ b/daemon/src/net/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines, ordered by time.
+//! A queue of deadlines, ordered by time.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
 }
 
 impl<T> Deadlines<T> {
-    /// Sets a deadline.
+    /// Adds a deadline at the time `at` with the item `what`. The returned id cancels it.
     pub fn set(&mut self, at: u64, what: T) -> DeadlineId {
         self.last_sequence += 1;
         let due = DeadlineId {
--- a/daemon/src/net/errno.rs
+++ b/daemon/src/net/errno.rs
@@ -5,7 +5,7 @@
 use rustix::io::Errno;
 use std::{fmt, io};
 
-/// The system calls of the event loop.
+/// The system calls of the event loop whose failures are classified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Call {
     /// `accept4` on a listener.
@@ -35,7 +35,7 @@
 }
 
 impl Call {
-    /// All system calls.
+    /// All variants, in the order of their declaration.
     pub const ALL: [Call; 12] = [
         Call::Accept,
         Call::Socket,
--- a/daemon/src/net/failure_log.rs
+++ b/daemon/src/net/failure_log.rs
@@ -25,7 +25,7 @@
 /// An episode that has ended, with the counts for its log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedEpisode {
-    /// The system call that failed.
+    /// The system call whose failures were counted.
     pub call: Call,
     /// The number of failures in the episode.
     pub failures: u64,
--- a/daemon/src/net/poll.rs
+++ b/daemon/src/net/poll.rs
@@ -120,7 +120,7 @@
     /// Waits for events, for up to `max_us` microseconds.
     ///
     /// # Errors
-    /// Fails if the set is unusable.
+    /// Fails if `epoll_wait` fails for another reason than an interruption by a signal.
     pub fn wait(&mut self, max_us: u64, out: &mut Vec<ReadyEvent>) -> Result<(), Failure> {
         self.events.clear();
         let max = Timespec {
--- a/daemon/src/net/syscall.rs
+++ b/daemon/src/net/syscall.rs
@@ -68,7 +68,7 @@
     make()
 }
 
-/// Accepts a connection.
+/// Accepts a pending connection, as a non-blocking socket.
 pub(super) fn accept(listener: &TcpListener) -> Result<TcpStream, Failure> {
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     make(Call::Accept, || net::accept_with(listener, flags)).map(TcpStream::from)
@@ -134,14 +134,14 @@
     })
 }
 
-/// Receives a datagram.
+/// Receives a datagram into `buffer`. Returns its length and its sender.
 pub fn receive_from(socket: &UdpSocket, buffer: &mut [u8]) -> Result<(usize, SocketAddr), Failure> {
     make(Call::ReceiveDatagram, || {
         socket.recv_from(buffer).map_err(|e| errno_of(&e))
     })
 }
 
-/// Sends a datagram.
+/// Sends a datagram to the address `to`. Returns the number of bytes sent.
 pub fn send_to(socket: &UdpSocket, datagram: &[u8], to: SocketAddr) -> Result<usize, Failure> {
     make(Call::SendDatagram, || {
         net::sendto(socket, datagram, SendFlags::NOSIGNAL, &to)
