--- a/daemon/src/core/attempt.rs
+++ b/daemon/src/core/attempt.rs
@@ -6,7 +6,7 @@
 /// Identifies an attempt by its request and its number among the attempts of that request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestKey,
     /// The position of the attempt among the attempts of its request, starting at 0.
     pub number: u32,
@@ -15,7 +15,7 @@
 /// The cache that an attempt is sent to, with its fill and its deadline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptTarget {
-    /// The cache.
+    /// The cache that the attempt is sent to.
     pub server: ServerId,
     /// How the cache fills a miss. If `None`, it serves only what it has cached.
     pub fill: Option<Fill>,
@@ -26,9 +26,9 @@
 /// The request and the target of an attempt, from which its frame is written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Dispatch<'a> {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: &'a ClientRequest,
-    /// The target of the attempt.
+    /// The cache, the fill and the deadline of the attempt.
     pub target: AttemptTarget,
 }
 
--- a/daemon/src/core/cache_table.rs
+++ b/daemon/src/core/cache_table.rs
@@ -13,7 +13,7 @@
     state: State,
 }
 
-/// The result of applying a list.
+/// The changes that result from applying an endpoint list.
 pub(super) struct Update {
     /// The servers named in the list, in the format of the decision module.
     pub(super) servers: Vec<Server>,
@@ -52,7 +52,7 @@
         self.caches.get(&id).map(|cache| cache.uid.as_str())
     }
 
-    /// Applies a full list, or changes to the list.
+    /// Applies a full endpoint list, or changes to the current one.
     pub(super) fn update(&mut self, mode: ListMode, entries: Vec<Entry>) -> Update {
         let mut withdrawn = Vec::new();
         if mode == ListMode::Full {
--- a/daemon/src/core/command.rs
+++ b/daemon/src/core/command.rs
@@ -3,7 +3,7 @@
 use super::{Answer, AttemptId, Client, RequestKey};
 use linnetknot::{Micros, ServerId};
 
-/// The reason of a wake-up.
+/// Why the core requested to be called at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wake {
     /// The deadline for the final answer to a request has been reached.
--- a/daemon/src/core/counters.rs
+++ b/daemon/src/core/counters.rs
@@ -3,9 +3,9 @@
 /// Totals since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests admitted.
+    /// The number of requests admitted to the request table.
     pub admitted: u64,
-    /// Attempts started.
+    /// The number of attempts started, including repeated attempts of the same request.
     pub attempts: u64,
     /// Requests answered with [`super::Answer::Served`].
     pub served: u64,
--- a/daemon/src/core/mod.rs
+++ b/daemon/src/core/mod.rs
@@ -1,12 +1,12 @@
 //! Requests, attempts and outcomes, without any I/O. The core drives the decision module and ensures that every request
-//! gets exactly one final answer. Fronts and upstreams translate between the core and their protocols.
+//! gets exactly one final answer. `front` and `upstream` translate between the core and the wire protocols.
 //!
 //! The event loop reports what happens (a request, the end of an attempt, a wake-up) together with the time, and
 //! executes the [`Command`]s that follow.
 //!
 //! * `request`, `attempt`, `command`, `counters`: the types of this interface;
-//! * `request_table`, `cache_table`: the state;
-//! * `requests`, `attempts`, `purging`: the operations on it.
+//! * `request_table`, `cache_table`: the open requests and the servers of the endpoint list;
+//! * `requests`, `attempts`, `purging`: the operations on these tables and on purges.
 
 mod attempt;
 mod attempts;
--- a/daemon/src/core/request_table.rs
+++ b/daemon/src/core/request_table.rs
@@ -13,9 +13,9 @@
     pub(super) request: ClientRequest,
     /// The time by which the final answer is due.
     pub(super) deadline: Micros,
-    /// The number of attempts started.
+    /// The number of attempts started so far for the request.
     pub(super) attempts: u32,
-    /// The outstanding attempt.
+    /// The attempt that has started and not ended, if any.
     pub(super) outstanding: Option<OutstandingAttempt>,
     /// Whether the final answer was given, or the client has disconnected.
     pub(super) answered: bool,
--- a/daemon/src/core/requests.rs
+++ b/daemon/src/core/requests.rs
@@ -119,14 +119,14 @@
             self.attempt_finished(now, attempt, outcome.into());
         }
         if self.requests.unanswered(key).is_some() {
-            // Ensures one final answer even if the decision module leaves the request open.
+            // If the decision module gave no final answer, the core gives one, so that every request is answered.
             log::warn!("the decision module gave no answer to a request by its deadline, so the request fails");
             self.finish(now, key, Answer::Failed);
             self.notify_client_left(now, key);
         }
     }
 
-    /// Gives the final answer. All final answers pass here, so that a request gets at most one.
+    /// Sends the final answer to a request. All final answers are sent by this function, so a request gets at most one.
     pub(super) fn finish(&mut self, now: Micros, key: RequestKey, answer: Answer) {
         let Some(open) = self.requests.unanswered_mut(key) else {
             return;
--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -109,7 +109,7 @@
         self.schedule_accept_retry(now);
     }
 
-    /// Schedules another attempt to accept. Both fronts share one timer, so that timers do not multiply while the
+    /// Schedules another attempt to accept. Both listeners share one timer, so that timers do not multiply while the
     /// table is full.
     pub(in crate::daemon) fn schedule_accept_retry(&mut self, now: Micros) {
         if !std::mem::replace(&mut self.accept_retry_scheduled, true) {
--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -141,10 +141,10 @@
         let last_accepted = |since| since + self.limits.drain_accept_us;
         let is_late_drain = matches!(self.admin_controller.drain_state(), DrainState::Draining(since) if now > last_accepted(since));
         let is_late = self.is_stopping() || is_late_drain;
-        // The count includes this request.
+        // The number of open requests includes this request.
         let is_busy = session.unanswered() > 1;
-        // The first request of a connection may have been sent before the client learned that the proxy is closing
-        // it.
+        // The first request of a connection may have been sent before the client was notified that the proxy is closing
+        // the connection.
         session.is_closing() && (is_busy || is_late && !is_first)
     }
 
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -37,7 +37,7 @@
 }
 
 impl State {
-    /// Creates the state before the first event.
+    /// Creates the state of the bus connection before the first event.
     pub(in crate::daemon) fn new(seed: u64, limits: &Limits) -> Self {
         let backoff = Backoff::new(limits.bus_min_backoff_us, limits.bus_max_backoff_us, seed);
         State {
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -30,7 +30,7 @@
     Decode(#[from] cached_snapshot::SnapshotError),
 }
 
-/// Writes the snapshot of each data centre.
+/// Writes the endpoint list of each data centre to a file.
 pub(in crate::daemon) struct SnapshotWriter {
     disk: FileWriter,
     snapshots: Vec<Snapshot>,
@@ -38,7 +38,7 @@
     missing_directory: Option<PathBuf>,
 }
 
-/// The snapshot of one data centre.
+/// The cached endpoint list of one data centre.
 struct Snapshot {
     path: PathBuf,
     /// Identifies the data centre and query that the list belongs to.
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -21,7 +21,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The watch of one data centre.
+/// The watch of the services in one data centre.
 struct WatchState {
     watch: Watch,
     /// The connection of the current call, if one is in progress.
@@ -52,7 +52,7 @@
     reason: Box<dyn Error + Send + Sync>,
 }
 
-/// Reads the token file.
+/// Reads the access token for Consul from the configured file; `None` if no file is configured.
 fn token(consul: &Consul) -> Result<Option<Token>, TokenError> {
     let Some(path) = &consul.token_file else {
         return Ok(None);
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -17,13 +17,13 @@
 }
 
 impl Daemon {
-    /// Receives all available datagrams.
+    /// Receives all datagrams of the peers that are available on the socket, and processes them by protocol.
     pub(in crate::daemon) fn receive_peer_datagrams(&mut self, now: Micros) {
         let mut bytes = [0; peers::MAX_DATAGRAM_BYTES + 1];
         while let Some((socket, _)) = &self.peers {
             let (length, from) = match receive_from(socket, &mut bytes) {
                 Ok(received) => received,
-                // The failure belongs to a datagram that was sent earlier, so receiving continues.
+                // The kernel reports the failure of a datagram that was sent earlier, so receiving continues.
                 Err(failure) if failure.kind == FailureKind::Broken => continue,
                 // epoll reports the socket again when more datagrams arrive.
                 Err(_) => return,
--- a/daemon/src/fail_points/mod.rs
+++ b/daemon/src/fail_points/mod.rs
@@ -39,7 +39,7 @@
     "store-commits",
     "store-committed",
     "promise-kept",
-    // The store fails to write (`fail`).
+    // At this point, a write of the store fails (`fail`).
     "store-fails",
     // Calls to the file system by the store and by atomic replacement of files (`ERRNO`).
     "disk-open",
@@ -54,13 +54,13 @@
     // (`fail`).
     "snapshot-chunk",
     "snapshot-lost",
-    // Faults in the protocol that fleet tests inject to verify that their checks detect them (`fail`): an
+    // Faults in the protocol, injected by fleet tests to verify that their checks detect such faults (`fail`): an
     // acknowledgement before the purge is durable, a recovery that skips missing entries, and a replaced process that
     // continues to commit.
     "plant-credit",
     "plant-skip",
     "plant-no-fence",
-    // Such a fault in compaction: entries are removed before the buckets with their purges are synced.
+    // A fault in compaction, for the same purpose: entries are removed before the buckets with their purges are synced.
     "plant-early-removal",
     // A ban or drain at the admin listener: before the first copy of the state is replaced, between the two copies, and
     // after both.
@@ -70,8 +70,9 @@
     // An allocator of budgets: before and after it sends granted leases to their holders.
     "budgets-grant",
     "budgets-granted",
-    // Such faults in shared budgets: a holder that ignores the expiry of its lease, a candidate that counts every vote
-    // it requests as granted, and an allocator that does not count the reserved minimums against the limit.
+    // Faults in shared budgets, for the same purpose: a holder that spends an expired lease, a candidate that
+    // counts every vote it requests as granted, and an allocator that does not count the reserved minimums against the
+    // limit.
     "plant-lease",
     "plant-votes",
     "plant-floors",
--- a/daemon/src/fleet/query.rs
+++ b/daemon/src/fleet/query.rs
@@ -9,14 +9,14 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The timeout of a whole query.
+/// The maximum time for connecting, and the maximum time for receiving the whole response.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// The maximum size of a response.
+/// The maximum size of a response of the admin listener, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
-/// The size of one read.
+/// The size of the buffer for one read from the connection, in bytes.
 const READ_BYTES: usize = 4096;
 
-/// An error of a query.
+/// An error of a query to the admin listener.
 #[derive(Debug, thiserror::Error)]
 pub enum StatusError {
     /// The admin listener can't be reached, or the connection broke.
--- a/daemon/src/ledger/codec.rs
+++ b/daemon/src/ledger/codec.rs
@@ -12,7 +12,7 @@
 /// The combined length of index and time at the start of a value.
 const VALUE_BYTES: usize = 16;
 
-/// The initial capacity of a key.
+/// The initial capacity of the buffer for an encoded key, in bytes.
 const KEY_CAPACITY: usize = 40;
 
 const OBJECT: u8 = b'o';
--- a/daemon/src/ledger/error.rs
+++ b/daemon/src/ledger/error.rs
@@ -58,7 +58,7 @@
 /// The reason for which an entry is not appended to the log of this proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AppendError {
-    /// The store is not open.
+    /// The store is not open yet, so nothing can be appended.
     #[error("the store is not open yet")]
     NoStore,
     /// The queue of the store's worker is full.
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -43,7 +43,7 @@
     pub replication: Options,
     /// The maximum number of writes pending at the store's worker.
     pub queue: usize,
-    /// The size of the compact table.
+    /// The size of the compact table, as the binary logarithm of its number of buckets.
     pub bucket_bits: BucketBits,
 }
 
@@ -99,7 +99,7 @@
 }
 
 impl Ledger {
-    /// Whether the store is open.
+    /// Whether the store is open, so that entries can be made durable.
     pub fn has_store(&self) -> bool {
         self.worker.is_some()
     }
@@ -140,8 +140,8 @@
     pub fn raise_incarnation(&mut self, incarnation: Epoch) {
         self.identity.incarnation = incarnation;
         self.replica.set_process(incarnation);
-        // If the queue is full, the incarnation is not stored. The next process then learns it from the peers, as this
-        // one did.
+        // If the queue is full, the incarnation is not stored. The next process then receives it from the peers, as
+        // this process did.
         if let Some(worker) = &mut self.worker {
             worker.submit(identity::put_incarnation(incarnation));
         }
@@ -223,7 +223,7 @@
         if self.compaction.is_idle() {
             if let Some(compaction) = self.replica.compact(now) {
                 log::debug!(entries = compaction.entries.len(), buckets = compaction.buckets.len(); "purges compacted");
-                // Without a store there is nothing to write.
+                // Without a store, the compaction changes only the memory, so no writes are submitted.
                 if self.worker.is_some() {
                     self.compaction.add(compaction);
                 }
--- a/daemon/src/ledger/table.rs
+++ b/daemon/src/ledger/table.rs
@@ -27,7 +27,7 @@
     /// For each log with compacted entries, the index through which it is compacted.
     pub(super) markers: Vec<CompactedLog>,
     /// The writes that resize the stored table. They must be committed as one group, so that a crash leaves the table
-    /// in one size or the other.
+    /// either in its old size or in its new size.
     pub(super) resize: Vec<Write>,
     /// Whether the store contains the header. Older versions of the program refuse to open such a store.
     pub(super) has_header: bool,
