--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -44,7 +44,7 @@
         out
     }
 
-    /// Only the status of the response is used.
+    /// Reads the response of the peer CDN, of which only the status is used.
     fn read(&mut self, input: &[u8], effects: &mut Vec<Task>) -> Result<Flow, WireError> {
         let (_, Some(Piece::Head(head))) = self.messages.parse(input)? else {
             return Ok(Flow::NeedsInput);
@@ -117,7 +117,7 @@
         self.schedule_accept_retry(now);
     }
 
-    /// Handles the requests that are complete.
+    /// Handles the requests of a connection that have been received completely.
     pub(super) fn read_cdni(&mut self, now: Micros, key: Key) {
         while let Some((head, body)) = self.next_cdni_request(key) {
             let Some(reply) = self.cdni_reply(now, &head, &body) else {
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -19,7 +19,7 @@
 
 pub(super) use operators::OperatorDecision;
 
-/// The response to a command of a peer CDN.
+/// The pending response to a command of a peer CDN, sent once the command is committed or rejected.
 pub(super) struct CdniResponse {
     /// The connection that waits for the response.
     pub(super) connection: Key,
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// The response to an operator's call.
+/// The pending response to an operator's call, sent once the call is committed or rejected.
 pub(super) struct OperatorResponse {
     /// The connection that waits for the response.
     pub(super) connection: Key,
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -147,7 +147,7 @@
             ConnectionKind::Client(_) | ConnectionKind::Cdni(_)
         ) && ready.hung_up
         {
-            // The client can't receive responses any more.
+            // The connection is broken or closed in both directions, so the client can't receive responses any more.
             return self.close(now, key);
         }
         if matches!(
--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -13,7 +13,7 @@
 /// The id of the first data centre of Consul as a source. Further data centres have the ids that follow.
 pub(super) const CONSUL: SourceId = SourceId(1);
 
-/// Rounds logged penalties to two decimals.
+/// The factor by which logged penalties are rounded to two decimals.
 const PENALTY_SCALE: f64 = 100.0;
 
 /// The lines that were already logged, so that repeated responses of a source do not log them again.
@@ -21,7 +21,7 @@
 pub(super) struct LoggedNotices(BTreeSet<String>);
 
 impl LoggedNotices {
-    /// Returns whether a line was not logged yet. When `max` lines are stored, all of them are forgotten and may be
+    /// Returns whether a line was not logged yet. When `max` lines are stored, all of them are removed and may be
     /// logged again.
     pub(super) fn is_new(&mut self, line: &str, max: usize) -> bool {
         if self.0.len() >= max {
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -110,7 +110,7 @@
     pending_commits: commits::PendingCommits,
     /// The membership of the proxies, and the deadline of its next tick.
     membership: Option<linnetknot_membership::Membership>,
-    /// The budgets that all proxies share.
+    /// The state of the budgets that all proxies share; `None` if no budgets are shared.
     shared_budgets: Option<budgets::SharedBudgets>,
     membership_due: Option<DeadlineId>,
     /// The signal that the worker thread of the store raises when writes have completed.
@@ -119,9 +119,9 @@
     pending_deliveries: usize,
     /// The readiness of this proxy as last announced to peer CDNs.
     announced_ready: bool,
-    /// Bytes of unsent responses of all clients.
+    /// The number of bytes of unsent responses of all clients.
     total_unsent_bytes: usize,
-    /// Bytes of incomplete requests of all clients.
+    /// The number of bytes of incomplete requests of all clients.
     total_partial_request_bytes: usize,
     /// When SIGTERM was received; `None` before that.
     sigterm_at: Option<Micros>,
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -15,7 +15,7 @@
 use std::path::Path;
 
 const MIN_RETRY_US: Micros = 100_000;
-/// The longest backoff, before jitter.
+/// The longest backoff between two attempts to read or write the files, before jitter.
 const MAX_RETRY_US: Micros = 2_000_000;
 
 /// The files of the operators' state, and whether they have to be read or written again.
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -12,7 +12,7 @@
 /// The minimum time between two ticks, so that the event loop can serve its sockets.
 const MIN_TICK_INTERVAL_US: Micros = 1_000;
 
-/// The wait for a snapshot. It is extended while chunks or entries are received, up to a bound.
+/// The timeout of waiting for a snapshot. It is extended while chunks or entries are received, up to `max_deadline`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SnapshotWait {
     since: Micros,
--- a/daemon/src/front/cdni/triggers/mod.rs
+++ b/daemon/src/front/cdni/triggers/mod.rs
@@ -70,7 +70,8 @@
     /// Adds the status of a trigger of another proxy, or of an earlier process of this proxy. An incomplete status is
     /// ignored.
     pub(super) fn insert(&mut self, now: u64, name: TriggerId, payload: &str) {
-        // The parts of a status arrive one by one. A text without the final brace is incomplete and need not be parsed.
+        // A long status is received in several log entries. A text without the final brace is incomplete and is not
+        // parsed.
         let complete = Some(payload).filter(|payload| payload.ends_with('}'));
         let trigger = complete
             .and_then(|payload| Trigger::read(now, payload))
--- a/daemon/src/front/fastcgi/output.rs
+++ b/daemon/src/front/fastcgi/output.rs
@@ -4,7 +4,7 @@
 use crate::wire::fastcgi::{self as wire, kind};
 use std::collections::VecDeque;
 
-/// The size of the records that end a stream and its request.
+/// The size of the records that end a stream and its request, in bytes.
 const END_RECORDS_BYTES: usize = 2 * wire::HEADER_LENGTH + wire::END_LENGTH;
 /// The minimum content of a record, in bytes, except for the last record of a response. Prevents tiny records to slow
 /// readers.
@@ -25,7 +25,7 @@
     },
 }
 
-/// The result of writing a message.
+/// How much of a message was written to the buffer.
 enum Written {
     /// The buffer has no space for the next record.
     Blocked,
--- a/daemon/src/front/fastcgi/request.rs
+++ b/daemon/src/front/fastcgi/request.rs
@@ -4,13 +4,13 @@
 use crate::limits::Limits;
 use std::fmt;
 
-/// The highest group of an object.
+/// The highest number of a group of objects.
 const MAX_GROUP: u64 = 255;
 /// The number of hexadecimal digits of a request id, an object key and a tag.
 const KEY_DIGITS: usize = 16;
 /// The number of hexadecimal digits of an idempotency key.
 const IDEMPOTENCY_KEY_DIGITS: usize = 32;
-/// The prefix of the paths of content.
+/// The prefix of the paths of requests for content.
 const CONTENT_PREFIX: &str = "/invoke/";
 
 /// A parameter that is missing or invalid.
--- a/daemon/src/front/fastcgi/session.rs
+++ b/daemon/src/front/fastcgi/session.rs
@@ -100,7 +100,7 @@
         waiting.count() - not_taken_out.count()
     }
 
-    /// Whether a request is incomplete.
+    /// Whether only part of a request has been received.
     pub fn is_partial(&self) -> bool {
         self.records.is_partial() || self.streams.values().any(|stream| !stream.is_waiting())
     }
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -38,7 +38,7 @@
 }
 
 impl UpstreamConnection {
-    /// Reads all received responses.
+    /// Parses and processes all responses in the received bytes.
     ///
     /// # Errors
     /// Fails on malformed input, after which the connection must be closed.
--- a/daemon/src/upstream/connection.rs
+++ b/daemon/src/upstream/connection.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// An attempt that has not started.
+/// An attempt that waits in the queue of a connection and has not started.
 pub(super) struct QueuedAttempt {
     pub(super) attempt: AttemptId,
     pub(super) since: Micros,
@@ -137,7 +137,7 @@
     }
 
     /// Whether attempts should no longer wait for this connection to be established. The connection itself may still
-    /// succeed later.
+    /// be established later.
     pub fn is_connect_overdue(&self, now: Micros, limits: &Limits) -> bool {
         self.connecting_since + limits.connect_timeout_us <= now
     }
--- a/daemon/src/upstream/frames.rs
+++ b/daemon/src/upstream/frames.rs
@@ -83,7 +83,7 @@
 /// The encoded frame of an attempt, with the age limit by which its response is checked.
 pub(super) struct AttemptFrame {
     pub(super) bytes: Vec<u8>,
-    /// The maximum age of a copy that the request allows.
+    /// The maximum age of a cached copy that the request accepts, in microseconds.
     pub(super) max_age_us: Option<Micros>,
 }
 
--- a/daemon/src/upstream/stream.rs
+++ b/daemon/src/upstream/stream.rs
@@ -13,7 +13,7 @@
     Aborted {
         /// The time at which the abort was queued.
         at: Micros,
-        /// The result of the attempt, until that is reported.
+        /// The result of the attempt; `None` once the result is reported to the core.
         pending: Option<PendingEnd>,
     },
     /// An attempt that was answered without content. The cache may repeat this response, and on the same connection it
@@ -24,7 +24,7 @@
     },
     /// A health check that was sent and has no response yet.
     HealthCheck {
-        /// The time at which it was sent.
+        /// The time at which the health check was sent.
         sent_at: Micros,
     },
 }
