--- a/daemon/src/core/requests.rs
+++ b/daemon/src/core/requests.rs
@@ -5,7 +5,7 @@
 use linnetknot::{Event, Micros, Outcome, Request};
 
 impl Core {
-    /// Admits a request. Returns `None` if the front has to reject it: the table is full, an open request has the same
+    /// Admits a request. Returns `None` if the caller has to reject it: the table is full, an open request has the same
     /// id, or the class requires an idempotency key and the request has none.
     pub fn admit(
         &mut self,
@@ -119,14 +119,14 @@
             self.attempt_finished(now, attempt, outcome.into());
         }
         if self.requests.unanswered(key).is_some() {
-            // Ensures one final answer even if the decision module leaves the request open.
+            // If the decision module gave no final answer, the core gives one, so that every request is answered.
             log::warn!("the decision module gave no answer to a request by its deadline, so the request fails");
             self.finish(now, key, Answer::Failed);
             self.notify_client_left(now, key);
         }
     }
 
-    /// Gives the final answer. All final answers pass here, so that a request gets at most one.
+    /// Sends the final answer to a request. All final answers are sent by this function, so a request gets at most one.
     pub(super) fn finish(&mut self, now: Micros, key: RequestKey, answer: Answer) {
         let Some(open) = self.requests.unanswered_mut(key) else {
             return;
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -19,11 +19,11 @@
 
 pub(super) use operators::OperatorDecision;
 
-/// The response to a command of a peer CDN.
+/// The pending response to a command of a peer CDN, sent once the command is committed or rejected.
 pub(super) struct CdniResponse {
     /// The connection that waits for the response.
     pub(super) connection: Key,
-    /// The response if the command is committed.
+    /// The response that is sent if the command is committed.
     pub(super) response: Response,
     /// The trigger that the command created, if any.
     pub(super) trigger: Option<TriggerId>,
@@ -106,7 +106,7 @@
             return self.finish_commit(now, response, Ok(()));
         }
         match last {
-            // Nothing was appended.
+            // The command appended no log entry, so there is no commit to wait for.
             Ok(None) => self.finish_commit(now, response, Ok(())),
             Ok(Some(index)) => self.open_commit(now, index, response),
             Err(e) => self.finish_commit(now, response, Err(e.into())),
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams from and to the other proxies.
+//! Receives and sends the datagrams exchanged with the other proxies.
 
 use crate::core::TRACE;
 use crate::daemon::Daemon;
@@ -17,13 +17,13 @@
 }
 
 impl Daemon {
-    /// Receives all available datagrams.
+    /// Receives all datagrams of the peers that are available on the socket, and processes them by protocol.
     pub(in crate::daemon) fn receive_peer_datagrams(&mut self, now: Micros) {
         let mut bytes = [0; peers::MAX_DATAGRAM_BYTES + 1];
         while let Some((socket, _)) = &self.peers {
             let (length, from) = match receive_from(socket, &mut bytes) {
                 Ok(received) => received,
-                // The failure belongs to a datagram that was sent earlier, so receiving continues.
+                // The kernel reports the failure of a datagram that was sent earlier, so receiving continues.
                 Err(failure) if failure.kind == FailureKind::Broken => continue,
                 // epoll reports the socket again when more datagrams arrive.
                 Err(_) => return,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Reports to the other proxies that the origin is slow for this one.
+    /// Reports to the other proxies that the origin responds slowly to this proxy.
     pub(in crate::daemon) fn share_origin_health(&mut self, now: Micros, share: f64) {
         let Some(datagram) = self
             .origin_health
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -30,7 +30,7 @@
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
 
-/// The ledger and its store, if the CDNI front has one.
+/// The ledger and its store, if the CDNI listener is configured with a store.
 #[derive(Default)]
 struct StoreParts {
     ledger: Option<Ledger>,
@@ -39,7 +39,7 @@
 }
 
 impl StoreParts {
-    /// Opens the configured store, if any.
+    /// Opens the store of the ledger, if one is configured.
     fn open(config: &Config, poll: &Poll, clock: &Clock) -> Result<Self, StartError> {
         let path = config.cdni.as_ref().and_then(|cdni| cdni.purges.clone());
         let Some(path) = path else {
@@ -162,7 +162,7 @@
 }
 
 impl Daemon {
-    /// Binds the sockets and applies the bus events in the configuration. On SIGHUP, `source` is called for a new
+    /// Binds the sockets and applies the bus events in the configuration. On SIGHUP, `source` is called to load a new
     /// configuration.
     ///
     /// # Errors
--- a/daemon/src/front/fastcgi/output.rs
+++ b/daemon/src/front/fastcgi/output.rs
@@ -4,7 +4,7 @@
 use crate::wire::fastcgi::{self as wire, kind};
 use std::collections::VecDeque;
 
-/// The size of the records that end a stream and its request.
+/// The size of the records that end a stream and its request, in bytes.
 const END_RECORDS_BYTES: usize = 2 * wire::HEADER_LENGTH + wire::END_LENGTH;
 /// The minimum content of a record, in bytes, except for the last record of a response. Prevents tiny records to slow
 /// readers.
@@ -12,7 +12,7 @@
 
 /// A queued message, which is written as one or more records.
 enum Message {
-    /// A management record.
+    /// A management record, encoded with its header.
     Management(Vec<u8>),
     /// The response to a request.
     Response {
@@ -25,9 +25,9 @@
     },
 }
 
-/// The result of writing a message.
+/// How much of a message was written to the buffer.
 enum Written {
-    /// Nothing fits now.
+    /// The buffer has no space for the next record.
     Blocked,
     /// Part of the message was written.
     Part,
--- a/daemon/src/limits/machine.rs
+++ b/daemon/src/limits/machine.rs
@@ -5,7 +5,7 @@
 /// The memory that is assumed for a machine that states less.
 const MIN_MEMORY_MB: usize = 16;
 const MIN_MEMORY_BYTES: usize = MIN_MEMORY_MB << 20;
-/// The memory reserved for each open request.
+/// The memory reserved for each open request, in bytes.
 const REQUEST_BYTES: usize = 16 << 10;
 /// The maximum number of open requests, regardless of the memory.
 const MAX_REQUESTS: usize = 8192;
@@ -18,7 +18,7 @@
 /// other than client connections.
 const MIN_USUAL_DESCRIPTORS: usize = 64;
 const NON_CLIENT_DESCRIPTORS: usize = 40;
-/// The minimum and the maximum of `Limits::reserved_connections`.
+/// The smallest and the largest value of `Limits::reserved_connections`.
 const MIN_RESERVED_CONNECTIONS: usize = 2;
 const MAX_RESERVED_CONNECTIONS: usize = 24;
 
--- a/daemon/src/upstream/stream.rs
+++ b/daemon/src/upstream/stream.rs
@@ -13,7 +13,7 @@
     Aborted {
         /// The time at which the abort was queued.
         at: Micros,
-        /// The result of the attempt, until that is reported.
+        /// The result of the attempt; `None` once the result is reported to the core.
         pending: Option<PendingEnd>,
     },
     /// An attempt that was answered without content. The cache may repeat this response, and on the same connection it
@@ -24,7 +24,7 @@
     },
     /// A health check that was sent and has no response yet.
     HealthCheck {
-        /// The time at which it was sent.
+        /// The time at which the health check was sent.
         sent_at: Micros,
     },
 }
@@ -97,7 +97,7 @@
 /// The result of an aborted attempt that is not reported yet.
 pub(super) struct PendingEnd {
     pub(super) attempt: AttemptId,
-    /// The result to report to the core.
+    /// The result of the attempt, to be reported to the core.
     pub(super) result: AttemptResult,
     /// The offset on the connection at which the abort frame ends; `None` while the abort is queued.
     pub(super) end_offset: Option<u64>,
