--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -458,7 +458,7 @@
         (Some(0), true),
         "{out}"
     );
-    // The zone is compared with the zones of a configuration only if the caller passes a configuration.
+    // `check` compares the zone with the zones of the configuration only if a configuration file is also given.
     assert_eq!(run(&[check, own.as_ref()]).0, Some(0));
     let (code, out, err) = run(&[check, own.as_ref(), config.as_ref()]);
     assert_eq!((code, out.lines().count()), (Some(1), 1));
--- a/daemon/tests/partial_io.rs
+++ b/daemon/tests/partial_io.rs
@@ -76,7 +76,7 @@
 #[test]
 fn every_connection_works_with_reads_and_writes_of_one_byte() {
     let daemon = Armed::start(BYTE_BY_BYTE);
-    // Clients, caches and the event bus.
+    // Requests over the connections of clients, caches and the event bus must succeed.
     let mut web = daemon.web();
     for number in 0..20 {
         let answer = ask(&mut web, number).expect("an answer");
@@ -86,7 +86,7 @@
     assert!(!daemon.cache.arrivals().is_empty());
     web.ask(2, "post", "0000000000000077", 2500).unwrap();
     assert_eq!(web.end().unwrap().1.map(|a| a.status), Some(200));
-    // The CDNI and admin listeners.
+    // Requests to the CDNI and admin listeners must succeed.
     assert_eq!(
         purge_at(daemon.process.cdni, "0000000000000003").unwrap(),
         201
--- a/discovery/tests/endpoint_table.rs
+++ b/discovery/tests/endpoint_table.rs
@@ -68,7 +68,7 @@
         (EndpointStatus::Suppressed, Reason::Flapping)
     );
     assert!(explanation.penalty > 2.0);
-    // The cache stays ready from now on.
+    // From here on, all reports say that the cache is ready.
     let due = table.next_due(now).unwrap();
     assert_eq!(Some(due), explanation.suppressed_until);
     assert!(
@@ -222,7 +222,7 @@
         table.explain("old", 2 * SECOND_US).unwrap().reason,
         Reason::AddressTaken("new".into())
     );
-    // Repeating the list changes nothing.
+    // A list equal to the previous list changes nothing in the table.
     let update = apply_ready_list(
         table,
         published,
--- a/discovery/tests/validation.rs
+++ b/discovery/tests/validation.rs
@@ -41,7 +41,7 @@
     entries.iter().map(|e| e.uid.as_str()).collect()
 }
 
-/// Zone `a` with four caches, zone `b` with one.
+/// Returns a list with four caches in zone `a` and one cache in zone `b`.
 fn listed() -> Vec<Entry> {
     ready(&["a1", "a2", "a3", "a4", "b1"])
 }
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -137,7 +137,7 @@
     judge(record, &Limits::default())
 }
 
-/// The name of a rule and a change of the record that breaks it.
+/// The name of a rule and a change to the record that violates the rule.
 type Fault = (&'static str, fn(&mut Record));
 
 const FAULTS: [Fault; 17] = [
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -67,7 +67,7 @@
     }
 }
 
-// ---- Verdicts ----
+// Tests of the verdicts on a run.
 
 #[test]
 fn runs_without_faults_pass_and_are_reproducible_by_seed() {
@@ -208,7 +208,7 @@
     );
 }
 
-// ---- Faults ----
+// Tests of the faults of a run.
 
 fn play_sound_run(fault: Fault) -> Outcome {
     let outcome = play(&run(fault));
@@ -351,7 +351,7 @@
         .any(|row| row.figure.contains("the fault")));
 }
 
-// ---- Single members ----
+// Tests of single members.
 
 #[test]
 fn hollow_members_replicate_purges_without_the_simulation() {
@@ -390,7 +390,7 @@
     assert_eq!(members[0].digest(), members[1].digest());
 }
 
-// ---- Layout, target, memory and fits ----
+// Tests of the layout, the target, the memory and the fits.
 
 #[test]
 fn layout_matches_the_target_and_scales_down() {
@@ -504,7 +504,7 @@
     assert_eq!(line(&points(|size| size)[..1]), None);
 }
 
-// ---- Command line ----
+// Tests of the command line.
 
 fn scale(arguments: &[&str]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_linnetknot-rehearse"));
--- a/replication/tests/compaction/main.rs
+++ b/replication/tests/compaction/main.rs
@@ -173,7 +173,7 @@
 fn a_snapshot_is_received_although_its_sender_restarts_or_fails() {
     for seed in 0..12 {
         let mut fleet = Fleet::new(3, 2, 100, seed);
-        // A low rate makes the transfer long enough.
+        // A low rate makes the transfer last long enough for the sender to restart or fail during it.
         fleet.options.snapshot_bytes_per_s = 20_000;
         (0..2).for_each(|n| {
             fleet.kill(n);
--- a/replication/tests/compaction_model.rs
+++ b/replication/tests/compaction_model.rs
@@ -21,7 +21,7 @@
     None,
     /// Compacted entries are deleted from the disk before their buckets are written.
     DeleteBeforeBuckets,
-    /// `prev` ignores the compacted index, as if compacted entries were superseded.
+    /// `prev` is computed without the compacted index, as if compacted entries were superseded.
     PrevWithoutCompaction,
     /// A snapshot counts as complete although some of its buckets were not received.
     IncompleteBuckets,
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -558,7 +558,7 @@
         (1, 0, 1)
     );
     assert_eq!(replica.log_store().entries().count(), 4);
-    // The disk works again.
+    // Writes to the disk succeed again.
     (1..=4).for_each(|index| drop(replica.record_synced(OWN, index)));
     let now = 100 + S;
     let moved = replica
@@ -762,7 +762,7 @@
         replica.receive(NOW, peer, ack());
         assert_eq!(replica.resolve_commits(200), [], "{peer}");
     }
-    // An acknowledgement of another writer's log does not count.
+    // An acknowledgement of another writer's log does not count towards the commit.
     replica.receive(NOW, 3, ack_of(5, LogId::new(2, 7), 9));
     assert_eq!(
         (replica.resolve_commits(200), replica.under_replicated()),
--- a/store/tests/common/medium.rs
+++ b/store/tests/common/medium.rs
@@ -35,7 +35,7 @@
     calls: Calls,
     /// The number of successful calls before the outage.
     skipped_calls: u64,
-    /// The number of calls that fail.
+    /// The number of calls that fail during the period.
     failing_calls: u64,
     errno: i32,
     /// Whether a failed sync evicts the written pages, so that later reads return the old content, as on some file
@@ -107,7 +107,7 @@
     pub remaining_operations: Option<u64>,
     /// The current outage.
     outage: Option<Outage>,
-    /// The number of operations so far.
+    /// The number of operations called on the medium so far.
     pub operations: u64,
 }
 
--- a/tests/common/world/mod.rs
+++ b/tests/common/world/mod.rs
@@ -47,7 +47,7 @@
 
 struct OpenRequest {
     object: u64,
-    /// Transfer time at full rate, and index of the tenant.
+    /// Transfer time of the object at full rate, and index of its tenant.
     work_s: f64,
     tenant: usize,
     attempts: u32,
@@ -69,7 +69,7 @@
     End(usize, RequestId, u32, Outcome, Note, Micros),
     Deadline(usize, RequestId),
     List(usize, ListMode, Vec<Server>),
-    /// Calls the test back with this number.
+    /// Calls the callback of the test with this number.
     Call(u64),
 }
 
--- a/tests/decision_trace/answers.rs
+++ b/tests/decision_trace/answers.rs
@@ -6,7 +6,7 @@
 use linnetknot::*;
 use std::collections::BTreeSet;
 
-/// Fault of a server.
+/// The way in which a simulated server misbehaves.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Fault {
     None,
@@ -40,7 +40,7 @@
     pub active: u64,
 }
 
-/// End of an attempt.
+/// How an attempt ends in the simulation.
 #[derive(Clone, Copy)]
 pub(crate) struct Answer {
     pub outcome: Outcome,
--- a/tests/decision_trace/disturbances.rs
+++ b/tests/decision_trace/disturbances.rs
@@ -47,8 +47,7 @@
         };
     }
 
-    /// Changes the state of a server, which drains, is removed, returns or restarts, and informs the router
-    /// immediately.
+    /// Drains, removes, restores or restarts a random server, and reports the change to the router immediately.
     fn change_server_state(&mut self) {
         let id = self.random_server();
         let started = self.now - self.below(4 * S);
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -1,8 +1,7 @@
-//! Compares the decisions of the module, action by action, with recorded digests for several seeds and settings. A
-//! change that should not affect decisions must leave the files in `expected/` alone.
+//! Compares the actions of the routing decision module with recorded digests, for several seeds and settings.
 //!
-//! A change that is meant to affect decisions replaces the files with those that a failing run writes, and its commit
-//! gives the reason.
+//! The files in `expected/` must stay unchanged unless a change of decisions is intended. In that case, replace them
+//! with the files that the failing run writes, and explain the reason in the commit message.
 
 mod answers;
 #[path = "../common/mod.rs"]
--- a/tests/decision_trace/random_fleet.rs
+++ b/tests/decision_trace/random_fleet.rs
@@ -231,7 +231,7 @@
         }
         let again = self.one_in(100).then(|| request.clone());
         self.feed(Event::Request(request));
-        // A request whose id is already open is ignored.
+        // The router must ignore a request whose id is already open.
         if let Some(request) = again {
             self.feed(Event::Request(request));
         }
--- a/tests/slow_start_sharing.rs
+++ b/tests/slow_start_sharing.rs
@@ -12,9 +12,9 @@
 enum BudgetKnowledge {
     /// A lease states the proxy's part of the budget.
     Lease,
-    /// The proxy knows its index among all proxies.
+    /// The proxy is configured with its index among all proxies.
     Index,
-    /// The proxy knows only the number of proxies.
+    /// The proxy is configured only with the number of proxies.
     Count,
 }
 
