--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -32,9 +32,9 @@
     stalled_inbox: Option<Vec<Envelope>>,
     /// By budget, the amount that the member would spend if it were granted.
     demand: Vec<Amount>,
-    /// By budget, the amounts that were spent, and when each settles.
+    /// By budget, the amounts that were spent, and the time at which each is free again (settled).
     spent: Vec<Vec<(Amount, Micros)>>,
-    /// The amounts that were spent by earlier processes, which the current one does not know.
+    /// The amounts that were spent by earlier processes of this member. The current process has no record of them.
     earlier_spent: Vec<Vec<(Amount, Micros)>>,
 }
 
@@ -139,8 +139,8 @@
         let node = &mut self.nodes[n];
         (node.member, node.stalled_inbox) = (None, None);
         node.demand.fill(0);
-        // A killed member's connections are closed, so spending up to its reserved minimum settles at once. The rest
-        // settles within the settling time.
+        // A killed member's connections are closed, so spending up to its reserved minimum ends at once. The rest
+        // ends within the settling time.
         for (spent, spec) in node.spent.iter_mut().zip(&self.specs) {
             let mut reserved = spec.reserved;
             for (amount, _) in spent.iter_mut() {
--- a/budgets/tests/model.rs
+++ b/budgets/tests/model.rs
@@ -38,7 +38,7 @@
     stalled_until: Option<Micros>,
 }
 
-/// A message in flight.
+/// A message in flight, with its sender and receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Envelope {
     from: MemberProcess,
@@ -52,7 +52,7 @@
     nodes: Vec<Node>,
     /// The messages in flight, oldest first.
     messages: Vec<Envelope>,
-    /// The allocator in the initial state.
+    /// The allocator in the initial state, or `None` if no member is elected yet.
     initial_allocator: Option<MemberIndex>,
     demander: MemberIndex,
     demand_moves: u8,
--- a/daemon/tests/budgets.rs
+++ b/daemon/tests/budgets.rs
@@ -20,7 +20,7 @@
 const RESERVED: u64 = 2;
 /// Maximum duration of a request. Budget that a proxy has spent is free again after this time at the latest.
 const DEADLINE_US: u64 = 1_000_000;
-/// Response time of the fake origin.
+/// Response time of the fake origin in milliseconds.
 const HOLD_MS: u64 = 100;
 /// Concurrent clients of each proxy. The clients of a single proxy already exceed the limit.
 const CLIENTS: usize = 26;
@@ -67,7 +67,7 @@
         test
     }
 
-    /// Starts clients for proxy `n`.
+    /// Starts `CLIENTS` concurrent clients that send requests to proxy `n`.
     fn add_clients(&mut self, n: usize) {
         let front = self.fleet.process(n).unwrap().front;
         self.clients[n] = Some(Pressure::on(front, CLIENTS));
@@ -478,7 +478,7 @@
     let test = BudgetTest::start(3, 3, 20, "plant-floors=fail");
     test.until("the limit is exceeded", || !test.breaches().is_empty());
     drop(test);
-    // Fault: a lease holder ignores the expiry of its lease. Once cut off, it keeps using budget that has been granted
+    // Fault: a lease holder uses its lease after the expiry. Once cut off, it keeps using budget that has been granted
     // to other proxies.
     let (test, allocator) = start_saturated(3, 21, "plant-lease=fail");
     let holder = others(allocator)[0];
--- a/daemon/tests/clock_steps.rs
+++ b/daemon/tests/clock_steps.rs
@@ -214,7 +214,7 @@
                 && status.peers.iter().any(|peer| peer.state == "alive")
         };
         assert!(poll_until(TIMEOUT, is_settled), "restart {restart}");
-        // Long enough for peers to gossip about the previous incarnation.
+        // The purges take long enough for peers to send gossip about the previous incarnation meanwhile.
         for n in 0..20 {
             let purged = object(10 + 100 * restart as u64 + n);
             assert_eq!(
--- a/daemon/tests/complete_requests_answered.rs
+++ b/daemon/tests/complete_requests_answered.rs
@@ -271,7 +271,7 @@
     }
 }
 
-/// Repeatedly sends more requests than one connection may have open, and ignores rejections and closed connections.
+/// Repeatedly sends more requests than a connection may have open. Rejections and closed connections are accepted.
 fn flood(front: SocketAddr, client: u64, stop: &AtomicBool) {
     while !stop.load(Ordering::SeqCst) {
         let Ok(mut web) = WebServer::connect(front) else {
--- a/daemon/tests/core.rs
+++ b/daemon/tests/core.rs
@@ -158,7 +158,7 @@
     core.admit(NOW, client(1), client_request(0)).unwrap();
     let first = sent_attempt(&core.take_commands()).unwrap();
     core.attempt_started(first);
-    // Advances the clock until the module considers the attempt stuck and cancels it.
+    // Advances the clock until the routing decision module considers the attempt stuck and cancels it.
     let (mut now, mut cancelled) = (NOW, false);
     while !cancelled && now < NOW + 900_000 {
         now += 50_000;
--- a/daemon/tests/event_ordering.rs
+++ b/daemon/tests/event_ordering.rs
@@ -574,7 +574,7 @@
 fn partial_requests_of_many_clients_are_bounded_and_others_are_served() {
     let proxy = TestProxy::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
-        // Long enough that no connection is closed by this timeout during the test.
+        // This timeout exceeds the duration of the test, so it closes no connection.
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
     let request = WebServer::request(
--- a/daemon/tests/failing_state_folder.rs
+++ b/daemon/tests/failing_state_folder.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
-/// Long enough for slow syncs on a busy machine.
+/// Maximum time for a commit; syncs on a busy machine must not exceed it.
 const COMMIT_TIMEOUT_MS: u64 = 4_000;
 const TIMEOUT: Duration = Duration::from_secs(20);
 
--- a/daemon/tests/fault_injection/mod.rs
+++ b/daemon/tests/fault_injection/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Maximum duration of each wait, long enough for a busy machine.
+/// Maximum duration of each wait of a test, chosen so that a busy machine does not exceed it.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Returns an address on which nothing listens.
@@ -27,9 +27,9 @@
     reason = "not every test that shares this module selects sockets by port"
 )]
 pub(crate) struct Ports {
-    /// The client listener.
+    /// The port of the daemon's client listener.
     pub(crate) front: u16,
-    /// The fake cache.
+    /// The port of the fake cache.
     pub(crate) cache: u16,
 }
 
@@ -121,7 +121,7 @@
         daemon
     }
 
-    /// Opens a client connection.
+    /// Opens a client connection to the daemon.
     pub(crate) fn web(&self) -> WebServer {
         WebServer::connect(self.process.front).unwrap()
     }
--- a/daemon/tests/fault_matrix.rs
+++ b/daemon/tests/fault_matrix.rs
@@ -23,7 +23,7 @@
     assert_eq!(matrix.status(), 0, "{matrix}\n{:#?}", matrix.notes);
 }
 
-/// Each deliberately injected violation is reported by the rule that forbids it.
+/// Each deliberately injected violation must be reported by the check that forbids it.
 #[test]
 fn planted_faults_are_detected() {
     for ((defect, point), rule) in DEFECTS
--- a/daemon/tests/fleet_faults.rs
+++ b/daemon/tests/fleet_faults.rs
@@ -89,7 +89,7 @@
         !holds_floor(&fleet, 2, &object),
         "the purge must not cross the cut link"
     );
-    // The opposite direction is not cut.
+    // The opposite direction is not cut, so purges must arrive over it.
     assert_eq!(fleet.purge(2, &after).unwrap(), 201);
     assert!(fleet.wait_for_purge(0, &after).unwrap());
 }
@@ -599,7 +599,7 @@
 /// the rejections.
 #[test]
 fn rejected_conflicting_operator_calls_restore_the_previous_state() {
-    // Long enough for all four calls to be pending at once on a busy machine.
+    // Calls last long enough that all four are pending at once, even on a busy machine.
     let within_ms = Some(6_000);
     let setup = Setup {
         within_ms,
--- a/daemon/tests/scripted_caches/mod.rs
+++ b/daemon/tests/scripted_caches/mod.rs
@@ -15,7 +15,7 @@
     pub(crate) connections: Vec<ScriptedConnection>,
 }
 
-/// A connection to a scripted cache.
+/// A daemon's connection to a scripted cache, with the bytes received and not yet parsed.
 pub(crate) struct ScriptedConnection {
     pub(crate) socket: TcpStream,
     pub(crate) parser: resp::ArrayParser,
--- a/daemon/tests/shutdown_deadlines.rs
+++ b/daemon/tests/shutdown_deadlines.rs
@@ -24,7 +24,7 @@
     unanswered: Vec<Duration>,
     /// Time from SIGTERM to the last response.
     last_answer: Duration,
-    /// Number of responses.
+    /// Number of requests that received a response.
     answered: usize,
 }
 
--- a/daemon/tests/snapshot_catch_up.rs
+++ b/daemon/tests/snapshot_catch_up.rs
@@ -8,7 +8,7 @@
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
 /// Purges that each proxy keeps as exact entries.
 const WINDOW: usize = 16;
-/// Purges sent while a proxy is down.
+/// Number of purges sent while a proxy is down.
 const PURGES: u64 = 60;
 
 fn fleet(seed: u64) -> Fleet {
--- a/daemon/tests/stored_forms.rs
+++ b/daemon/tests/stored_forms.rs
@@ -22,7 +22,7 @@
 const STATE_2: &[u8] = include_bytes!("fixtures/state-2.store");
 /// The hash of the name `p0`.
 const WRITER: u64 = 0x08d5_9807_b575_ec6d;
-/// Epochs of the two stores.
+/// The log epochs in the two stored files, as microseconds since 1970.
 const EPOCH_1: Micros = 0x0006_61a4_cc7c_0065;
 const EPOCH_2: Micros = 0x0006_61a4_cc99_769b;
 /// Number of triggers in each store. Each of them purges two objects.
@@ -204,7 +204,7 @@
     let path = folder.write_file("old", bytes);
     assert_eq!(Store::open(&path).unwrap().format(), Ok(format));
     let original = read_pairs(&path);
-    // Opened one minute after its epoch.
+    // The store is opened at one minute after its epoch.
     let running = RunningLedger::open(&path, epoch + 60_000_000, exact_purges);
     check_contents(&running.ledger, epoch, second);
     let rewritten = folder.0.join("again");
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -24,7 +24,7 @@
     sent_attempts: Vec<(String, AttemptId)>,
     /// The ETag of the copy that the client holds.
     client_etag: Option<String>,
-    /// Length of the request bodies.
+    /// Length of the request bodies in bytes.
     body_bytes: usize,
 }
 
@@ -438,7 +438,7 @@
     let last = *sent.last().unwrap();
     upstream.connection.abort(upstream.now, waiting);
     upstream.connection.abort(upstream.now, last);
-    // The cache reads again.
+    // The cache reads its socket again until the abort arrives.
     let (mut text, aborted_id) = (String::new(), format!("{:04}", sent.len() - 1));
     while !text.contains("abort") {
         text += &drain_cache_socket(&mut upstream);
--- a/discovery/tests/endpoint_table.rs
+++ b/discovery/tests/endpoint_table.rs
@@ -68,7 +68,7 @@
         (EndpointStatus::Suppressed, Reason::Flapping)
     );
     assert!(explanation.penalty > 2.0);
-    // From here on, all reports say that the cache is ready.
+    // No further change of state is reported, so the suppression must end at the time returned by `next_due`.
     let due = table.next_due(now).unwrap();
     assert_eq!(Some(due), explanation.suppressed_until);
     assert!(
--- a/rehearse/tests/fake_site.rs
+++ b/rehearse/tests/fake_site.rs
@@ -316,7 +316,7 @@
             answer("3", "404", "")
         };
         assert_eq!(found, expected, "late fills: {late_fills}");
-        // A maximum age excludes the copy in either case.
+        // With a maximum age in the request, the copy must not be served in either case.
         let fresh_only = Fetch {
             max_age_us: 7990 * MS,
             ..fetch("4", 7, None)
--- a/rehearse/tests/report.rs
+++ b/rehearse/tests/report.rs
@@ -41,7 +41,7 @@
 fn report_round_trips_and_invalid_reports_name_the_key() {
     let good = report(0.9, &["cold boxes: s-0a"]);
     assert_eq!(Report::read(&good.write().unwrap()).unwrap(), good);
-    // Older files lack the number of unsent requests.
+    // Files of earlier versions lack the number of unsent requests and must still be read.
     let older = good.write().unwrap().replacen("\n  \"unsent\": 0,", "", 1);
     assert_ne!(older, good.write().unwrap());
     assert_eq!(Report::read(&older).unwrap(), good);
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -355,7 +355,7 @@
     assert_eq!(score(&record).total.refused, 1.0);
     record.answered.clear();
     assert_eq!(score(&record).total.unanswered, 8.0);
-    // A record without requests has no score.
+    // The score of a record without requests must be `None`.
     assert_eq!(score(&Record::default()).total.score(), None);
     assert_eq!(score(&Record::default()).worst, None);
 }
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -1,4 +1,5 @@
-//! Fleets of hollow members: detection of injected defects, faults, and reproducibility by seed.
+//! Fleets of hollow members (simulated proxies without clients or sockets): detection of injected defects, faults, and
+//! reproducibility by seed.
 
 use linnetknot_rehearse::scale::fault::Fault;
 use linnetknot_rehearse::scale::fit::{exponent, line, Point};
--- a/rehearse/tests/series.rs
+++ b/rehearse/tests/series.rs
@@ -1,4 +1,4 @@
-//! Tests of series over many seeds and of the shipped scenarios.
+//! Tests of series of runs over many seeds, and of the shipped scenarios.
 
 use linnetknot_rehearse::series::{run_in_parallel, Seeds, Summary, Verdict, Verdicts};
 use linnetknot_rehearse::shipped::{expand_names, find, SHIPPED};
--- a/replication/tests/compaction/fleet.rs
+++ b/replication/tests/compaction/fleet.rs
@@ -8,7 +8,7 @@
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const S: Micros = 1_000_000;
 
-/// A write to a disk.
+/// A pending write to a member's simulated disk.
 #[derive(Clone, Debug)]
 enum Write {
     Entry(Entry),
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -20,7 +20,7 @@
     disk: LogStore,
     /// The pending writes to the disk, and when each of them completes.
     writes: VecDeque<(Micros, Entry)>,
-    /// The pending commits, with the subject and time of their purge.
+    /// The pending commits, each with the subject and time of its purge.
     pending: Vec<(CommitId, Subject, Micros)>,
     /// The datagrams that arrived during a stall; `None` if the member is not stalled.
     stalled: Option<Vec<(usize, Vec<u8>)>>,
--- a/store/tests/common/medium.rs
+++ b/store/tests/common/medium.rs
@@ -9,7 +9,7 @@
 const EIO: i32 = 5;
 const ENOSPC: i32 = 28;
 
-/// A set of kinds of calls.
+/// A set of kinds of calls to the medium, such as those that an outage affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Calls(u8);
 
@@ -95,7 +95,7 @@
     Bytes(usize, Vec<u8>),
 }
 
-/// The content and state of a medium.
+/// The content of a simulated medium and the faults that it is to have.
 #[derive(Debug, Default)]
 pub(crate) struct Disk {
     /// The content that reads return, including unsynced changes.
@@ -105,7 +105,7 @@
     unsynced: Vec<Change>,
     /// The number of operations until the medium stops, or `None` if it does not stop.
     pub remaining_operations: Option<u64>,
-    /// The current outage.
+    /// The current outage, or `None` if calls succeed.
     outage: Option<Outage>,
     /// The number of operations called on the medium so far.
     pub operations: u64,
--- a/store/tests/failing_medium.rs
+++ b/store/tests/failing_medium.rs
@@ -66,7 +66,7 @@
     store: Option<Store>,
     /// The state after the last acknowledged group, and the states after each of the unacknowledged groups since then.
     possible_states: Vec<State>,
-    /// The number of failed commits.
+    /// The number of commits that failed so far.
     failures: usize,
     power_failures: usize,
 }
--- a/store/tests/memory.rs
+++ b/store/tests/memory.rs
@@ -5,7 +5,7 @@
 use std::fs;
 
 const SPACE: Keyspace = Keyspace("test");
-/// The number of values that the test writes, about 32 MiB in total.
+/// The number of keys that the test writes. Their values have a total size of about 32 MiB.
 const KEYS: u64 = 64 << 10;
 const VALUE_BYTES: usize = 512;
 const GROUP_WRITES: usize = 4_096;
--- a/tests/common/world/mod.rs
+++ b/tests/common/world/mod.rs
@@ -47,7 +47,7 @@
 
 struct OpenRequest {
     object: u64,
-    /// Transfer time of the object at full rate, and index of its tenant.
+    /// Transfer time at full rate in seconds, and index of the tenant that the request belongs to.
     work_s: f64,
     tenant: usize,
     attempts: u32,
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -25,7 +25,7 @@
     disturbance_interval_us: 120 * MS,
     object_count: 400,
 };
-/// Long enough for request counts to decay and servers to stay warm.
+/// Two minutes at a low rate, so that request counts decay and servers become warm and stay so.
 const SLOW: Workload = Workload {
     seconds: 120,
     checkpoint_seconds: 10,
@@ -33,7 +33,7 @@
     disturbance_interval_us: 3 * S,
     object_count: 400,
 };
-/// Too few requests for reliable slowdown averages.
+/// So few requests that the averages of the servers' slowdown are unreliable.
 const SPARSE: Workload = Workload {
     seconds: 1_200,
     checkpoint_seconds: 100,
@@ -49,7 +49,7 @@
     disturbance_interval_us: 600 * MS,
     object_count: 20_000,
 };
-/// Long enough for writes to be retried under all kinds of faults.
+/// One minute at the rate of `BUSY`, so that writes are retried under all kinds of faults.
 const LONG_BUSY: Workload = Workload {
     seconds: 60,
     checkpoint_seconds: 5,
--- a/tests/purge_cost.rs
+++ b/tests/purge_cost.rs
@@ -13,7 +13,7 @@
 const PURGES: u64 = 1_000_000;
 const PURGES_PER_TICK: u64 = 100;
 const COPIES: u64 = 20_000;
-/// Allowed random deviation of a measured share: three standard deviations for 20,000 copies.
+/// Allowed difference between a measured and its expected share: three standard deviations for 20,000 copies.
 const TOLERANCE: f64 = 0.012;
 
 /// Records purges of a million objects, with ticks in between.
