--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -52,7 +52,7 @@
             + (now as i64 + now as i64 * self.clock_drift_ppm / 1_000_000) as Micros
     }
 
-    /// Returns the unsettled amount of a budget.
+    /// Returns the unsettled amount of a budget: spent and not yet free again.
     fn unsettled(&self, now: Micros, budget: usize) -> Amount {
         unsettled(&self.spent[budget], now)
     }
@@ -155,8 +155,8 @@
         self.update_beliefs();
     }
 
-    /// Makes all members believe that exactly the running members are up. Stalled members and those behind a partition
-    /// are believed to be up.
+    /// Marks exactly the running members as up at all members. Stalled members and members behind a partition count as
+    /// running.
     fn update_beliefs(&mut self) {
         let up: Vec<bool> = self.nodes.iter().map(|n| n.member.is_some()).collect();
         for member in self.nodes.iter_mut().filter_map(|n| n.member.as_mut()) {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Spends some or all of what a member's lease and demand allow. The spending settles within the settling time.
+    /// Spends some or all of what a member's lease and demand allow. The amount is free again within the settling time.
     fn spend(&mut self, n: usize) {
         let now = self.links.now;
         for budget in (0..self.specs.len()).filter(|budget| self.specs[*budget].settling_us > 0) {
@@ -422,7 +422,7 @@
                     .partition(fleet.nodes.len(), &(0..nodes / 2).collect::<Vec<_>>()),
                 6 => fleet.links.cut(n, (n + 1) % nodes),
                 7 => fleet.links.restore(),
-                // A member gets a random belief about whether another member is up.
+                // A random member marks another member as up or down at random.
                 _ => {
                     let (member, up) = (
                         fleet.links.draw(nodes as u64) as usize,
@@ -694,7 +694,7 @@
     }
 }
 
-/// Guards against grants to a restarted holder that ignore what its earlier process may have spent.
+/// Guards against grants to a restarted holder that do not subtract what its earlier process may have spent.
 #[test]
 fn unsettled_amounts_of_a_holder_still_count_after_it_restarts() {
     let specs = [BudgetSpec {
@@ -760,7 +760,7 @@
     assert!(lease(&fleet, 1) > 90_000, "{}", lease(&fleet, 1));
 }
 
-/// Guards against a restarted allocator that keeps its votes although it has forgotten its grants.
+/// Guards against a restarted allocator that keeps its votes although its grants are lost.
 #[test]
 fn a_restarted_allocator_grants_no_leases_beside_its_earlier_ones() {
     for seed in 0..100 {
@@ -781,7 +781,7 @@
     }
 }
 
-/// Guards against a restarted voter that votes again before its earlier vote, which it has forgotten, has expired.
+/// Guards against a restarted voter that votes again before its earlier vote, of which it has no record, has expired.
 #[test]
 fn a_restarted_voter_does_not_elect_a_second_allocator() {
     for seed in 0..100 {
@@ -845,7 +845,7 @@
     leases * 100 / FIGURES_LIMIT
 }
 
-/// Returns all members but the allocator.
+/// Returns the indexes of all members except the allocator.
 fn others(fleet: &Fleet) -> Vec<usize> {
     let allocator = fleet.allocator(0).expect("an allocator is elected");
     (0..fleet.nodes.len()).filter(|n| *n != allocator).collect()
--- a/budgets/tests/model.rs
+++ b/budgets/tests/model.rs
@@ -24,7 +24,7 @@
     NoBug,
     /// A restarted member votes at once, although its earlier vote may not have expired.
     VotesAtStart,
-    /// A restarted member reuses its process id, so that it keeps its votes although it has forgotten its grants.
+    /// A restarted member reuses its process id, so that it keeps its votes although its grants are lost.
     ReusesProcessId,
     /// The allocator assumes that each holder has received the response to its previous request.
     AssumesDelivery,
@@ -66,11 +66,11 @@
     AdvanceTime,
     Deliver(usize),
     DeliverDuplicate(usize),
-    /// Restarts a member. The flag states whether the member then believes that no other member is up.
+    /// Restarts a member. The flag states whether the member then considers all other members down.
     Restart(usize, bool),
     Stall(usize),
     Resume(usize),
-    /// Makes this member the only one with a demand.
+    /// Makes this member the only member with a demand.
     Demand(usize),
 }
 
--- a/consul/tests/mapping.rs
+++ b/consul/tests/mapping.rs
@@ -103,7 +103,7 @@
         ("here", "box", State::Draining),
         "the warning weight is 0"
     );
-    // With the default keys the custom metadata is ignored, and the defaults apply.
+    // With the default keys the custom metadata is not read, and the default values apply.
     let mut fixture = WatchFixture::new(|_| {});
     fixture.exchange(5, &[foreign.clone()]);
     assert_eq!(
@@ -450,7 +450,7 @@
     );
 }
 
-/// Generates arbitrary JSON values.
+/// Generates arbitrary nested JSON values.
 fn any_json() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
--- a/consul/tests/registration.rs
+++ b/consul/tests/registration.rs
@@ -42,10 +42,10 @@
     deregister_at_shutdown(registration, now);
 }
 
-/// Registers at the second agent after the first one fails. Returns the time of the registration.
+/// Registers at the second agent after the first agent fails. Returns the time of the registration.
 fn register_at_second_agent(registration: &mut Registration) -> Micros {
     let mut now = 1_000_000;
-    // The first agent is unreachable, so the next one is called.
+    // The first agent is unreachable, so the next agent is called.
     assert_eq!(registration.poll(now, false).unwrap().agent, 0);
     assert!(matches!(
         registration.on_failure(now, TransportError::Unreachable),
--- a/consul/tests/watch.rs
+++ b/consul/tests/watch.rs
@@ -128,7 +128,7 @@
 
 const ALL_IDS: [&str; 5] = ["a", "b", "c", "d", "e"];
 
-/// The empty list is correct: the catalog confirms it.
+/// An empty list that the catalog confirms is correct and must be applied.
 #[test]
 fn too_many_omissions_are_applied_only_after_confirmation() {
     let mut fixture = WatchFixture::new(|options| options.agents = 2);
@@ -209,7 +209,7 @@
         fixture.states()[..2],
         [("a", State::Draining), ("b", State::Ready)]
     );
-    // The confirmation fails, and the list is retained.
+    // The query that should confirm the omissions fails, so the list is retained.
     fixture.next_call();
     fixture.respond(500, &[], b"No cluster leader");
     assert_eq!(fixture.states().len(), 5);
--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -255,7 +255,7 @@
         "a banned cache gets no new requests"
     );
     proxy.stop();
-    // The next process reads the ban from the state folder.
+    // After the restart, the new process must read the ban from the state folder.
     let proxy = with_admin(&["s-0a", "s-0b"], &folder);
     let admin = proxy.admin.expect("an admin listener");
     await_status(admin, "/control/ready", 200);
--- a/daemon/tests/budgets.rs
+++ b/daemon/tests/budgets.rs
@@ -14,9 +14,9 @@
 use std::time::{Duration, Instant};
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
-/// Concurrent requests allowed at the origin.
+/// Maximum number of concurrent requests of the whole fleet to the origin.
 const LIMIT: u64 = 24;
-/// Part of the limit that is reserved for each proxy.
+/// Number of concurrent requests of the limit that is reserved for each proxy.
 const RESERVED: u64 = 2;
 /// Maximum duration of a request. Budget that a proxy has spent is free again after this time at the latest.
 const DEADLINE_US: u64 = 1_000_000;
@@ -168,8 +168,8 @@
 }
 
 const ALL_PROXIES: [usize; 3] = [0, 1, 2];
-/// Concurrent requests that the other proxies must reach while one proxy has only its reserved minimum: most of the
-/// rest.
+/// Number of concurrent requests that the other proxies must reach together while one proxy has only its reserved
+/// minimum. It is most of the remaining limit.
 const REMAINING_SHARE: f64 = (LIMIT - RESERVED) as f64 * 0.8;
 
 /// Starts a fleet that uses the whole limit, and returns it with its allocator.
@@ -307,8 +307,8 @@
     }
 }
 
-/// Member indexes follow the order of the peer list, so a proxy whose list changes at run time would mistake one member's
-/// messages for another's.
+/// Member indexes follow the order of the peer list, so a proxy whose list changes at run time would attribute messages
+/// to the wrong member.
 #[test]
 fn a_proxy_with_a_changed_peer_list_shares_nothing_until_its_restart() {
     let (mut test, allocator) = start_saturated(3, 14, "");
@@ -376,7 +376,7 @@
     test.assert_limit_kept();
 }
 
-/// The restarted proxies do not know which leases they granted or held before the restart.
+/// The restarted proxies have no record of the leases that they granted or held before the restart.
 #[test]
 fn restarting_half_of_the_proxies_at_once_keeps_the_limit() {
     let (mut test, allocator) = start_saturated(4, 11, "");
--- a/daemon/tests/client_gone.rs
+++ b/daemon/tests/client_gone.rs
@@ -66,7 +66,7 @@
     format!("{:016x}", 0xabc_0000 + u64::from(number))
 }
 
-/// Serves a client until a connection to each cache is up, so that a further attempt need not wait for one.
+/// Serves a client until a connection to each cache is up, so that a further attempt need not wait for a connection.
 fn warm_up<const N: usize>(caches: &mut [ScriptedCache; N], web: &mut WebServer) {
     let mut n = 1_000;
     while caches.iter().any(|cache| cache.connections.is_empty()) {
@@ -198,7 +198,7 @@
     disconnect_before_answer("404", "-", false);
 }
 
-/// All requests are for one object. All but the first wait for the fill that the first request has caused.
+/// All requests are for the same object. All except the first wait for the fill that the first request has caused.
 #[test]
 fn failed_shared_fill_after_client_disconnect_starts_no_retry() {
     disconnect_before_answer("503", "how=rode", true);
--- a/daemon/tests/clock_offsets.rs
+++ b/daemon/tests/clock_offsets.rs
@@ -1,5 +1,5 @@
-//! A proxy whose wall clock has a constant offset violates no rule of the load test, and its score is as good as with a
-//! correct clock.
+//! A proxy whose wall clock has a constant offset must pass all checks of the load test, and its score must be as good
+//! as with a correct clock.
 
 use linnetknot_rehearse::player::play;
 use linnetknot_rehearse::shipped;
--- a/daemon/tests/clock_steps.rs
+++ b/daemon/tests/clock_steps.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
-/// Triggers created before each clock step.
+/// Number of triggers created before each clock step.
 const TRIGGERS: u64 = 64;
 
 fn fleet(proxies: usize, seed: u64, points: &str) -> Fleet {
--- a/daemon/tests/common/ledger_on_medium.rs
+++ b/daemon/tests/common/ledger_on_medium.rs
@@ -18,7 +18,7 @@
 pub(crate) const STEP_US: Micros = 10_000;
 /// Maximum wait for the disk worker to report a completed write.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Maximum wait for a wakeup between two ticks. The wait may end without one if no write is pending.
+/// Maximum wait for a wakeup between two ticks. The wait may end without a wakeup if no write is pending.
 const TICK_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_TICKS: usize = 100;
 
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -320,7 +320,7 @@
     let mut nodes = [sender, receiver];
     let mut now = nodes[0].now + 1_000_000;
     let mut acks = Vec::new();
-    // The receiver's disk rejects all operations.
+    // From here on, the receiver's disk rejects all operations.
     set_remaining_operations(&receiver_medium, Some(0));
     for _ in 0..200 {
         now += 50_000;
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -31,7 +31,7 @@
 }
 
 /// The second example deployment has no peers, reports load only in the caches' answers, allows a second copy of an
-/// object, has writes that must not run twice, and configures link speeds. `linnetknot check` must accept it.
+/// object, has writes that must not run twice, and configures link speeds. `linnetknot check` must accept the file.
 #[test]
 fn the_second_deployments_configuration_is_valid_without_peers() {
     let config = json!({
--- a/daemon/tests/core.rs
+++ b/daemon/tests/core.rs
@@ -334,7 +334,7 @@
         core.take_commands().first(),
         Some(&Command::Withdraw(server_id("a")))
     );
-    // A server missing from a full list is removed.
+    // A server missing from a full list must be removed from the router.
     core.update_endpoints(
         NOW,
         ListMode::Full,
--- a/daemon/tests/deadline_propagation.rs
+++ b/daemon/tests/deadline_propagation.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn first_attempt_retry_and_fill_carry_the_remaining_deadline() {
-    // The first answer causes a retry at the other cache, the others a fill at the same cache.
+    // The first answer causes a retry at the other cache, the other answers cause a fill at the same cache.
     check_retry_deadline("503", "-");
     check_retry_deadline("404", "-");
     check_retry_deadline("503", "how=cut_off");
--- a/daemon/tests/descriptors.rs
+++ b/daemon/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! A daemon whose descriptor limit is below its configuration, with more idle connections than it may hold.
+//! A daemon whose descriptor limit is below its configuration, with more idle connections than the daemon may hold.
 
 use linnetknot_harness::clients::{call, WebServer};
 use linnetknot_harness::fakes::cache::FakeCache;
@@ -69,7 +69,7 @@
     let open_descriptors = || {
         std::fs::read_dir(format!("/proc/{}/fd", child.id())).map_or(0, std::iter::Iterator::count)
     };
-    // Four times as many connections as it may hold, over both listeners.
+    // Open four times as many connections as the daemon may hold, over both listeners.
     let idle_clients: Vec<WebServer> = (0..200)
         .map(|_| WebServer::connect(front).unwrap())
         .collect();
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -308,7 +308,7 @@
     assert!(agent.wait_until_read());
     assert_eq!(fetches_per_cache(&proxy, &mut proxy.web())[0], 0);
     proxy.stop();
-    // A truncated file is ignored, and the proxy starts without a list.
+    // A truncated file must be skipped, so the proxy starts without a list.
     agent.set_behaviour(Behaviour::Unavailable);
     let bytes = std::fs::read(&file).unwrap();
     std::fs::write(&file, &bytes[..bytes.len() - 1]).unwrap();
@@ -389,7 +389,7 @@
     other.set_behaviour(Behaviour::Normal);
     assert!(other.wait_until_read());
     assert_eq!(fetches_per_cache(&proxy, &mut web)[2], 0);
-    // An invalid `consul` section changes nothing.
+    // A reload with an invalid `consul` section must change nothing.
     proxy.config_file.lock().unwrap()["consul"]["wait_s"] = 0.into();
     proxy.control.reload().unwrap();
     other.register(&instances(&proxy, ["critical", "passing", "critical"]));
--- a/daemon/tests/documentation.rs
+++ b/daemon/tests/documentation.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Path of the page, relative to the root of the workspace.
+/// Path of the architecture page, relative to the root of the workspace.
 const PAGE: &str = "docs/ARCHITECTURE.md";
 
 /// Extensions by which a code span is recognized as a file.
@@ -13,7 +13,7 @@
 /// Minimum number of words in a code span that counts as a test name.
 const MIN_TEST_NAME_WORDS: usize = 4;
 
-/// Returns the root of the workspace.
+/// Returns the root of the workspace, to which paths on the page are relative.
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .parent()
--- a/daemon/tests/event_ordering.rs
+++ b/daemon/tests/event_ordering.rs
@@ -421,7 +421,7 @@
     }
 }
 
-/// The response head of the event bus.
+/// The response head that the event bus sends before a stream of events.
 const EVENT_STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 
 fn event(offset: u64, body: Value) -> String {
@@ -518,7 +518,7 @@
     proxy.control.reload().unwrap();
     let (mut at_new_address, last) = new.accept();
     assert_eq!(last, 1);
-    // Events from the old address must be ignored; this one would remove the last cache.
+    // Events from the old address must be discarded; this event would remove the last cache.
     let leaving = topology(vec![entry(&proxy.caches[0], "here", "box", "gone")]);
     let _ = reconnecting.write_all([EVENT_STREAM_HEAD, &event(9, leaving)].concat().as_bytes());
     drop(reconnecting);
--- a/daemon/tests/failing_state_folder.rs
+++ b/daemon/tests/failing_state_folder.rs
@@ -80,7 +80,7 @@
     );
 }
 
-/// The first sync at startup fails once.
+/// The first sync of the store at startup fails once, and a retry succeeds.
 #[test]
 fn a_daemon_whose_first_sync_fails_serves_and_recovers_its_store() {
     for (errno, seed) in [("EIO", 71), ("ENOSPC", 72)] {
@@ -168,7 +168,7 @@
     assert!(poll_until(TIMEOUT, || fleet.is_converged().unwrap()));
     assert_eq!(status_of(&fleet, 0, &peer_trigger), 200);
     let own_trigger = trigger(&fleet, 0, &object_id(4));
-    // Its own disk has all entries, so it recovers without its peers.
+    // The disk of the daemon has all entries, so the daemon recovers without its peers.
     fleet.kill(1).unwrap();
     fleet.kill(2).unwrap();
     fleet.kill(0).unwrap();
--- a/daemon/tests/failing_system_calls_under_load.rs
+++ b/daemon/tests/failing_system_calls_under_load.rs
@@ -19,7 +19,7 @@
     sys-write=errno(ENOBUFS|EINTR|EAGAIN|ENOMEM):every(5);\
     sys-setsockopt=errno(ENOBUFS|ENOMEM):every(5)";
 
-/// Six seconds of photos, posts and purges on three proxies.
+/// A load of photo requests, posts and purges on three proxies for six seconds.
 fn scenario(faults: Vec<Fault>) -> Scenario {
     let class = |name: &str, share, keyed| ClassLoad {
         name: name.into(),
@@ -52,7 +52,7 @@
     }
 }
 
-/// Caches that repeatedly die and recover.
+/// Faults that repeatedly kill caches, which recover after a while.
 fn flapping_caches() -> Vec<Fault> {
     let cache_dies = |at, first| Fault {
         at,
--- a/daemon/tests/fleet_faults.rs
+++ b/daemon/tests/fleet_faults.rs
@@ -457,7 +457,7 @@
         until(&format!("{point}: p1 has crashed"), || {
             fleet.status(1).is_err()
         });
-        // The writer's machine is lost too, so only p2 holds the commit.
+        // The writer's machine is lost too, so only p2 has the committed purge.
         fleet.kill(0).unwrap();
         fleet.kill(1).unwrap();
         fleet.restart(0, Disk::Lost).unwrap();
@@ -801,7 +801,7 @@
     });
 }
 
-/// A proxy that replaces a lost machine is not ready before it has recovered the bans and drains set by operators.
+/// A proxy on a replacement machine is not ready before it has recovered the bans and drains set by operators.
 #[test]
 fn bans_and_drains_survive_replacing_a_lost_machine() {
     let mut fleet = replicating_fleet(3, 70);
--- a/daemon/tests/limits.rs
+++ b/daemon/tests/limits.rs
@@ -7,7 +7,7 @@
 fn limits_fit_the_smallest_and_largest_machines_and_reserve_capacity() {
     for (descriptors, memory_mb) in [(256, 32), (1024, 192)] {
         let limits = Limits::for_machine(descriptors, memory_mb);
-        // Reserved for caches, parents, the origin, the event bus and connections that are being closed.
+        // Connections reserved for caches, parents, the origin, the event bus and connections that are being closed.
         assert!(
             limits.max_connections - limits.max_client_connections >= 64
                 && limits.max_connections < descriptors
--- a/daemon/tests/loopback.rs
+++ b/daemon/tests/loopback.rs
@@ -205,7 +205,7 @@
     let made = send_and_receive(&mut web, "photo", &object_id(1))
         .made()
         .unwrap();
-    // Ages have a resolution of a millisecond: the purge must not fall into the same one as the copy.
+    // Ages have a resolution of a millisecond: the purge must not fall into the same millisecond as the copy.
     while unix_ms() <= made + 1 {}
     proxy
         .bus
@@ -436,7 +436,7 @@
 
 #[test]
 fn when_the_connection_table_is_full_only_idle_clients_are_closed() {
-    // The limit leaves room for one client.
+    // The connection limit leaves room for a single client.
     let proxy = TestProxy::with(&["s-0a"], |config| config["limits"]["sockets"] = json!(3));
     let mut first = proxy.web();
     assert_eq!(
@@ -471,7 +471,7 @@
 #[test]
 fn silent_clients_and_partial_requests_are_closed_and_block_nobody() {
     let proxy = TestProxy::with(&["s-0a"], |config| config["limits"]["sockets"] = json!(20));
-    // More clients than there is room for. They stay until the daemon closes them.
+    // Connect more clients than the daemon accepts. Their connections stay open until the daemon closes them.
     let request = WebServer::request(1, "/invoke/photo", &[("HTTP_REQUEST_ID", "0a")], b"");
     let mut clients: Vec<_> = (0..24).map(|_| proxy.web()).collect();
     clients
@@ -511,7 +511,7 @@
         .at;
     proxy.config_file.lock().unwrap()["bus"] = json!("nowhere");
     proxy.control.reload().unwrap();
-    // An invalid configuration changes nothing: the daemon goes on reading the old bus.
+    // A reload of an invalid configuration changes nothing: the daemon continues to read the old bus.
     proxy.bus.push(json!({"ban": {"tag": 2, "ts": 1}}));
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
     proxy.caches[0].set_behaviour(Behaviour::default());
@@ -717,7 +717,7 @@
         ..Behaviour::default()
     });
     let (mut slow, mut other) = (proxy.web(), proxy.web());
-    // Far more bytes than the socket and ring buffers hold.
+    // The response has far more bytes than the socket and ring buffers hold.
     for id in 1..=32 {
         slow.ask(id, "photo", &object_id(u64::from(id)), 60_000)
             .unwrap();
@@ -816,7 +816,7 @@
         4,
         "each attempt takes a new connection"
     );
-    // Two may remain: the abort of the last attempt is still being sent on the older one.
+    // Two connections may remain: the abort of the last attempt is still being sent on the older connection.
     let until = std::time::Instant::now() + std::time::Duration::from_secs(10);
     while proxy.origin.open() > 2 {
         assert!(
--- a/daemon/tests/oncall_log_lines.rs
+++ b/daemon/tests/oncall_log_lines.rs
@@ -89,8 +89,8 @@
     panic!("unterminated string literal");
 }
 
-/// Returns the message of a macro call whose arguments begin at `start`: the first literal, or the first one after the
-/// semicolon that ends the key-values.
+/// Returns the message of a macro call whose arguments begin at `start`: the first literal, or the first literal after
+/// the semicolon that ends the key-values.
 fn first_message(text: &str, start: usize) -> Option<String> {
     let (mut depth, mut at, mut found) = (1, start, None);
     while depth > 0 {
--- a/daemon/tests/origin_clock.rs
+++ b/daemon/tests/origin_clock.rs
@@ -7,7 +7,7 @@
 /// The origin's time at the start of a test.
 const START: Micros = 1_000_000_000_000;
 const SECOND: i64 = 1_000_000;
-/// Offsets of the local clock, ahead of the origin's.
+/// Offsets by which the local clock is ahead of the origin's clock.
 const OFFSETS_S: [i64; 7] = [-3_600, -60, -4, 0, 4, 60, 3_600];
 
 fn local_time(origin: Micros, ahead_s: i64) -> Micros {
--- a/daemon/tests/plain_purge_datagrams.rs
+++ b/daemon/tests/plain_purge_datagrams.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// A daemon with a peer that replicates logs and one that does not.
+/// A daemon with a peer that replicates logs and a peer that does not.
 struct TestFleet {
     daemon: Process,
     address: SocketAddr,
--- a/daemon/tests/rehearsal.rs
+++ b/daemon/tests/rehearsal.rs
@@ -35,7 +35,8 @@
     }
 }
 
-/// Four seconds of photos, posts and purges, with few objects so that purged objects are requested again.
+/// A load of photo requests, posts and purges for four seconds, with few objects so that purged objects are requested
+/// again.
 fn short_scenario() -> Scenario {
     let class = |name: &str, share, keyed| ClassLoad {
         name: name.into(),
@@ -146,7 +147,7 @@
     }
 }
 
-/// Caches that drain, stall, or die and restart cold, a slow origin and a broken event bus.
+/// Injects caches that drain, stall, or die and restart cold, a slow origin and a broken event bus.
 fn cache_and_origin_faults() -> Scenario {
     scenario_with_faults(&[
         (1.0, 2.5, What::BoxDrains { boxes: 1, first: 0 }),
@@ -192,7 +193,7 @@
     );
 }
 
-/// A proxy that is killed and restarted, then another that is stopped and restarted.
+/// Kills and restarts a proxy, then stops and restarts another proxy.
 fn proxy_restarts() -> Scenario {
     scenario_with_faults(&[
         (
--- a/daemon/tests/slow_state_folder.rs
+++ b/daemon/tests/slow_state_folder.rs
@@ -8,7 +8,8 @@
 use std::time::{Duration, Instant};
 use test_proxy::{object_id, send_and_receive, TestProxy};
 
-/// Longer than the time from the start of a drain to the closing of idle connections.
+/// The duration of a sync of the slow disk. It exceeds the time from the start of a drain to the closing of idle
+/// connections.
 const SYNC_DELAY_MS: u64 = 700;
 
 #[test]
--- a/daemon/tests/snapshot_catch_up.rs
+++ b/daemon/tests/snapshot_catch_up.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
-/// Purges that each proxy keeps as exact entries.
+/// Maximum number of purges that each proxy keeps as exact entries.
 const WINDOW: usize = 16;
 /// Number of purges sent while a proxy is down.
 const PURGES: u64 = 60;
@@ -30,7 +30,7 @@
     assert!(poll_until(3 * TIMEOUT, condition), "never: {what}");
 }
 
-/// Sends all purges to proxies 0 and 1 in turn, and waits until both have compacted all beyond the window.
+/// Sends all purges to proxies 0 and 1 in turn, and waits until both have compacted all purges beyond the window.
 fn purge_all(fleet: &Fleet) {
     for n in 0..PURGES {
         assert_eq!(
--- a/daemon/tests/stored_forms.rs
+++ b/daemon/tests/stored_forms.rs
@@ -28,7 +28,7 @@
 /// Number of triggers in each store. Each of them purges two objects.
 const TRIGGERS: u64 = 6;
 const OBJECTS: u64 = 12;
-/// Limit of exact purge entries of the program that wrote the second store.
+/// Maximum number of exact purge entries in the program that wrote the second store.
 const EXACT_PURGES: usize = 4;
 /// Keyspaces that a ledger writes, and the store's header.
 const KEYSPACES: [&str; 6] = ["head", "own", "entries", "buckets", "compacted", "table"];
@@ -193,7 +193,7 @@
     running.ledger.close().unwrap();
 }
 
-/// Checks that a stored file is read, is not changed by that, and is rewritten identically.
+/// Checks that a stored file is read, that reading does not change the file, and that it is rewritten identically.
 fn check_store(
     name: &str,
     bytes: &[u8],
--- a/daemon/tests/syscall_errors.rs
+++ b/daemon/tests/syscall_errors.rs
@@ -340,7 +340,7 @@
     );
 }
 
-/// Records the lines that the failure log writes on this thread.
+/// A logger that records the lines that the failure log writes on this thread.
 struct LineRecorder;
 
 thread_local! {
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -409,7 +409,8 @@
         .unwrap();
 }
 
-/// The cache reads no more bytes: an unstarted attempt is dropped, a partially written one is followed by its abort.
+/// The cache reads no more bytes: an unstarted attempt is dropped, and a partially written attempt is followed by its
+/// abort.
 #[test]
 fn an_aborted_attempt_is_dropped_unless_its_first_byte_was_written() {
     let mut upstream = Upstream::new(true);
@@ -420,7 +421,7 @@
             .iter()
             .any(|event| matches!(event, UpstreamEvent::AttemptStarted(a) if *a == attempt))
     };
-    // Send attempts until the socket is full and one can't be started.
+    // Send attempts until the socket is full and an attempt can't be started.
     let mut sent = Vec::new();
     let waiting = loop {
         let attempt = upstream.send(&format!("{:04}", sent.len()));
--- a/discovery/tests/damping.rs
+++ b/discovery/tests/damping.rs
@@ -1,4 +1,4 @@
-//! Decay of penalties, and validation of the damping parameters.
+//! Tests of the decay of flap-damping penalties, and of the validation of the damping parameters.
 
 use linnetknot::Micros;
 use linnetknot_discovery::{Damping, Penalty};
--- a/discovery/tests/model.rs
+++ b/discovery/tests/model.rs
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    /// A source reports a state of one cache.
+    /// A source reports the state of a single cache.
     Delta(usize, usize, State),
     /// A source reports a full list that contains only this cache, as ready.
     FullList(usize, usize),
--- a/discovery/tests/validation.rs
+++ b/discovery/tests/validation.rs
@@ -117,7 +117,7 @@
             (mode, removals.clone(), vec![])
         );
     }
-    // Draining caches are not retained.
+    // Draining caches that a list omits must not be retained.
     let drained: Vec<Entry> = listed
         .iter()
         .map(|e| entry(&e.uid, "a", State::Draining))
--- a/harness/tests/process.rs
+++ b/harness/tests/process.rs
@@ -1,4 +1,4 @@
-//! The error that is returned for a daemon that does not start.
+//! Tests of the error that the harness returns for a daemon that does not start.
 
 use linnetknot_harness::process::Process;
 use serde_json::Value;
--- a/membership/tests/fleet.rs
+++ b/membership/tests/fleet.rs
@@ -154,7 +154,7 @@
             .for_each(|(from, bytes)| self.deliver(from, n, bytes));
     }
 
-    /// Returns the state of a member as seen by another.
+    /// Returns the state of a member as seen by another member.
     fn state(&self, observer: usize, subject: usize) -> Option<MemberState> {
         Some(
             self.nodes[observer].membership.as_ref()?.members()[peer_index(subject, observer)]
@@ -345,7 +345,7 @@
         fleet.start(0);
         assert!(fleet.run_until_agreed(20 * S).is_some(), "seed {seed}");
         let process = fleet.nodes[0].process;
-        // The old process resumes. The other members ignore its claims and notify it of its successor.
+        // The old process resumes. The other members must reject its claims and notify it of its successor.
         let successor = std::mem::replace(&mut fleet.nodes[0].membership, old);
         fleet.resume(0);
         fleet.run(3 * S);
--- a/membership/tests/predecessor.rs
+++ b/membership/tests/predecessor.rs
@@ -5,7 +5,7 @@
 
 const SECOND_US: Micros = 1_000_000;
 const START: Micros = 1_000_000 * SECOND_US;
-/// How long the process expects reports of its predecessor.
+/// Time after its start during which the process expects reports of its predecessor.
 const WINDOW_US: Micros = 5 * SECOND_US;
 const OWN_ID: Id = 1;
 const PEER_ID: Id = 2;
--- a/origin-health/tests/reports.rs
+++ b/origin-health/tests/reports.rs
@@ -213,7 +213,7 @@
     }
 }
 
-/// Guards against a restarted sender that is ignored forever because its clock was set back.
+/// Guards against discarding the reports of a restarted sender forever because its clock was set back.
 #[test]
 fn a_sender_whose_clock_was_set_back_is_accepted_after_its_last_report_expired() {
     let mut health = origin_health();
--- a/purges/tests/bucket.rs
+++ b/purges/tests/bucket.rs
@@ -9,7 +9,7 @@
     Fingerprint::of(KeyHash::from(number))
 }
 
-/// A change of a bucket.
+/// A change that a test applies to a bucket.
 #[derive(Clone, Debug)]
 enum Step {
     Record(u64, Micros),
--- a/purges/tests/latest_purge.rs
+++ b/purges/tests/latest_purge.rs
@@ -189,7 +189,7 @@
     fn compact(&mut self, _: Micros, _: Micros) {}
 }
 
-/// A step of a test.
+/// A random step of a test, applied to the table and to its model.
 #[derive(Clone, Debug)]
 enum Step {
     Record(KeyHash, Micros),
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// A low purge rate, which keeps runs with broken rules short.
+/// A low purge rate, so that runs with injected defects take little time.
 fn run_with_few_purges(fault: Fault) -> Run {
     let target = Target {
         purges_per_second: 10,
--- a/store/tests/crash.rs
+++ b/store/tests/crash.rs
@@ -181,7 +181,7 @@
         "the file must not be changed"
     );
     std::fs::remove_file(&path).unwrap();
-    // A temporary file that a crash left behind is replaced.
+    // A temporary file left behind by a crash must be replaced.
     std::fs::write(folder.join("state.new"), [0x5a; 4096]).unwrap();
     let mut store = Store::open(&path).unwrap();
     assert!(!folder.join("state.new").exists());
@@ -195,7 +195,7 @@
         200,
         "closed and opened again"
     );
-    // A file of an unknown format is rejected.
+    // Opening a file of an unknown format must fail.
     let mut store = Store::open(&path).unwrap();
     let other = Write::put(
         Keyspace("head"),
@@ -206,7 +206,7 @@
     drop(store);
     let error = Store::open(&path).unwrap_err().to_string();
     assert!(error.contains("linnetknot state 9"), "{error}");
-    // A truncated file is rejected.
+    // Opening a truncated file must fail.
     let bytes = std::fs::read(&path).unwrap();
     std::fs::write(&path, &bytes[..bytes.len() / 2]).unwrap();
     assert!(Store::open(&path).is_err());
--- a/store/tests/failing_medium.rs
+++ b/store/tests/failing_medium.rs
@@ -209,7 +209,7 @@
 }
 
 /// After a failed sync the kernel marks the written pages clean. Unless the store writes them again, the next commit is
-/// acknowledged without them being on the disk.
+/// acknowledged although these pages are not on the disk.
 #[test]
 fn ranges_of_a_failed_sync_are_written_again() {
     for syncs in 0..8 {
--- a/tests/common/world/attempts.rs
+++ b/tests/common/world/attempts.rs
@@ -5,7 +5,7 @@
 use linnetknot::*;
 
 impl FleetSimulation {
-    /// Asserts that the proxy has not yet learned that a server is draining or removed.
+    /// Asserts that the proxy has not yet been notified that a server is draining or removed.
     fn assert_not_withdrawn(&self, n: usize, server: ServerId) {
         let withdrawn_at = self.proxies[n].withdrawn_at.get(&server);
         assert!(
--- a/tests/common/world/mod.rs
+++ b/tests/common/world/mod.rs
@@ -41,7 +41,7 @@
     pub router: Router,
     pub zone: usize,
     open_requests: BTreeMap<RequestId, OpenRequest>,
-    /// Time at which the proxy learned that a server must get no new requests.
+    /// Time at which the proxy was notified that a server must get no new requests.
     withdrawn_at: BTreeMap<ServerId, Micros>,
 }
 
@@ -361,8 +361,8 @@
 
 /// Reason why `run` calls back.
 pub(crate) enum Notice {
-    /// A scheduled callback with its number.
+    /// A callback that the test scheduled, with the number that the test gave it.
     Call(u64),
-    /// An attempt of this proxy has ended.
+    /// An attempt of the proxy with this index has ended.
     Outcome(usize),
 }
--- a/tests/failure_handling.rs
+++ b/tests/failure_handling.rs
@@ -192,7 +192,7 @@
     let mut cancelled = Vec::new();
     for n in 0..40 {
         harness.now += 100 * MS;
-        // The same cache answers other requests.
+        // The same cache must still be sent other requests, and answers them.
         let (id, actions) = harness.request("page", &format!("/o/{n}"), 5 * S);
         let s = sent(&actions).expect("an attempt");
         harness.end_attempt_with(id, 0, s.server, Outcome::Ok, Note::Hit);
@@ -344,7 +344,7 @@
         let object = format!("/o/{round}");
         let slow = sent(&harness.request("video", &object, 60 * S).1).expect("an attempt");
         let start = harness.now;
-        // The server answers another request, so the request itself is slow.
+        // The server answers another request, so only this request is slow.
         harness.now += 100 * MS;
         let other = harness.send_request("video", &object);
         assert_eq!(other.server, slow.server);
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -1,5 +1,5 @@
 //! Fairness under overload: the largest objects of a class and smaller tenants must not lose most of their answers. The
-//! figures come from five deployments, and the module knows them only from its settings.
+//! figures come from five deployments, and the decision module gets them only from its settings.
 
 mod common;
 use common::world::*;
@@ -166,7 +166,8 @@
     }
 }
 
-/// Half of the caches of each location, and the parents, are replaced by empty ones at 8 s under higher load.
+/// Half of the caches of each location, and the parents, are replaced by servers without copies at 8 s under higher
+/// load.
 #[test]
 fn large_objects_and_small_tenants_get_their_share_while_servers_are_replaced() {
     for site in SITES {
--- a/tests/fleet_failures.rs
+++ b/tests/fleet_failures.rs
@@ -52,7 +52,7 @@
     });
     w
 }
-/// Simulates the replacement of three in five caches of each zone by empty ones within 7 s, reported after a delay.
+/// Simulates the replacement of three in five caches of each zone by empty caches within 7 s, reported after a delay.
 fn cache_replacement(proxies: usize, delay: Micros) -> FleetSimulation {
     let mut w = FleetSimulation::new(6, proxies, 5, 8.0, 5);
     w.link_capacity = 1e3;
@@ -149,7 +149,7 @@
 }
 
 /// The server list is updated 3 s late or not at all, so the proxies have to detect the replaced caches by failed
-/// attempts. Each such trial may cost one attempt only.
+/// attempts. Each such trial may cost only a single attempt.
 #[test]
 fn late_or_absent_discovery_during_a_release_costs_trials_but_few_requests() {
     for (delay, trials) in [(3 * S, 3), (100 * S, 8)] {
@@ -170,7 +170,7 @@
 }
 
 /// The list adds caches that do not exist and removes caches that do. Removed caches must not be used, which the
-/// simulation asserts, and absent ones must be tried rarely.
+/// simulation asserts, and attempts at caches that do not exist must be rare.
 #[test]
 fn wrong_discovery_costs_few_attempts_per_absent_cache() {
     let mut w = FleetSimulation::new(6, 16, 4, 8.0, 5);
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -22,7 +22,7 @@
         .collect();
     assert!(first.iter().all(|s| s.server == 21));
     assert_eq!(harness.router.origin_requests_in_flight(), 5);
-    // A lease below the number of requests in flight cancels none of them and admits no new ones.
+    // A lease below the number of requests in flight cancels none of them and admits no new requests.
     assert!(harness
         .handle(lease(Budget::Origin, 3.0, harness.now + S, 1.0))
         .is_empty());
@@ -156,7 +156,7 @@
             reserved >= 1 && 3 * reserved < all,
             "{budget:?}: {reserved} requests with the reserved minimum, {all} with the whole budget"
         );
-        // A lease on the other budget has no effect.
+        // A lease on the other budget must have no effect on this budget.
         let other = if parent {
             Budget::Caches
         } else {
--- a/tests/many_routers.rs
+++ b/tests/many_routers.rs
@@ -64,7 +64,7 @@
 
 #[test]
 fn one_or_hundreds_of_routers_use_a_warming_cache_within_its_budget() {
-    // The cache starts with a share of 0.2 of 8 transfers, and the rule allows 3 times its capacity in 1 s.
+    // The cache starts with a share of 0.2 of 8 transfers, and the slow-start rule allows 3 times its capacity in 1 s.
     let limit = 0.2 * 8.0 * 3.0;
     for routers in [1, 8, 200] {
         let sum = transfer_s_sent(routers, 60, 1);
@@ -431,7 +431,7 @@
     assert!(matches!(last[..], [Action::Refuse { .. }]), "{last:?}");
 }
 
-/// Guards against misses in siblings that use up the attempts at parents.
+/// Guards against cache misses at siblings that use up the attempts allowed at parents.
 #[test]
 fn a_miss_in_a_sibling_is_still_retried_at_two_parents() {
     let mut servers = fleet();
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -1,4 +1,4 @@
-//! Boundary cases of the platform's rules: deadlines, retries, draining servers, slow start and purges.
+//! Boundary cases of the rules that every router must keep: deadlines, retries, draining servers, slow start and purges.
 
 mod common;
 use common::*;
@@ -190,7 +190,7 @@
         servers[0].started = Some(START);
         count_requests_to(s, servers, 1)
     };
-    // Each request takes 0.1 s; the rule allows 3 x 0.2 x 8 transfers for one second: 48 requests.
+    // Each request takes 0.1 s; the slow-start rule allows 3 x 0.2 x 8 transfers for one second: 48 requests.
     assert!(
         (1..=48).contains(&requests_to_warming_cache(1)),
         "{}",
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing without failures, and determinism.
+//! Tests of routing without failures, and of equal decisions for equal inputs.
 
 mod common;
 use common::*;
--- a/tests/slow_start_budget.rs
+++ b/tests/slow_start_budget.rs
@@ -34,7 +34,7 @@
         s
     }
 
-    /// Returns the times of requests sent to the server, since its start.
+    /// Returns the times of requests sent to the server, measured from the start of the server.
     fn sends(&self, duration: Micros) -> Vec<Micros> {
         let mut servers = vec![
             server(1, "town", "cache"),
@@ -97,7 +97,7 @@
                 if [sent.server, sent.fill.source].contains(&self.id) {
                     sends.push(now - START);
                 }
-                // Answered immediately, so that only the budget delays further requests.
+                // Each request is answered immediately, so that only the budget delays further requests.
                 let note = if self.is_parent {
                     Note::Filled
                 } else {
--- a/tests/slow_start_sharing.rs
+++ b/tests/slow_start_sharing.rs
@@ -1,5 +1,5 @@
 //! Checks the load that all proxies together send to a server in slow start, in virtual time and for several seeds.
-//! Proxies have leases from an allocator, know their index, or know only the number of proxies. Attempts fail and are
+//! Proxies have leases from an allocator, their index, or only the number of proxies. Attempts fail and are
 //! retried at other servers, and fills count at their source.
 
 mod common;
@@ -79,9 +79,9 @@
 struct Excess {
     /// Requests above the limit; negative if the limit was not reached.
     excess: f64,
-    /// Limit of that window.
+    /// Maximum number of requests that the slow-start rule allows in that window.
     limit: f64,
-    /// Requests in that window.
+    /// Number of requests sent to the server in that window.
     requests: usize,
 }
 
@@ -223,7 +223,7 @@
     scheduled_answers: BTreeMap<Micros, VecDeque<Answer>>,
     /// Number of attempts by request.
     attempts: BTreeMap<RequestId, u32>,
-    /// Times of the requests to the server in slow start, since its start.
+    /// Times of the requests to the server in slow start, measured from the start of the server.
     requests: Vec<Micros>,
 }
 
