--- a/purges/tests/bucket.rs
+++ b/purges/tests/bucket.rs
@@ -1,4 +1,4 @@
-//! The semilattice laws and the encoding of buckets.
+//! Tests that merging buckets is associative, commutative and idempotent, and tests of the encoding of buckets.
 
 use linnetknot_purges::{Bucket, DecodeError, Fingerprint, KeyHash, Micros};
 use proptest::prelude::*;
--- a/purges/tests/common/mod.rs
+++ b/purges/tests/common/mod.rs
@@ -25,7 +25,7 @@
         (number as f64 * 1e6 / self.per_second) as Micros
     }
 
-    /// Returns the time of the last purge.
+    /// Returns the time of the last purge of the stream.
     pub(crate) fn end(&self) -> Micros {
         self.time(self.purges)
     }
--- a/purges/tests/tables.rs
+++ b/purges/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Limits and edge cases of the tables.
+//! Limits and edge cases of the exact and the compact purge tables.
 
 use linnetknot_purges::{
     Bucket, BucketBits, BucketBitsError, BucketIndex, BucketIndexError, Fingerprint,
--- a/rehearse/tests/fake_site.rs
+++ b/rehearse/tests/fake_site.rs
@@ -273,8 +273,8 @@
     );
 }
 
-/// A fill in progress during a purge may bring an older copy, also through a sibling. It is stored only if the site is
-/// configured with late fills.
+/// A fill in progress during a purge may bring an older copy, also through a sibling. This copy is stored only if the
+/// site is configured with late fills.
 #[test]
 fn fill_older_than_a_purge_is_cached_only_with_late_fills() {
     for late_fills in [false, true] {
@@ -290,10 +290,10 @@
         ] {
             site.start(uid, kind, node_parameters(), None);
         }
-        // The parent cache has a copy from 70 ms.
+        // The parent cache has a copy that was created at 70 ms.
         site.fetch(0, "a", fetch("1", 7, Some("hub")));
         site.advance(1000 * MS);
-        // The sibling is filled from it, and all nodes apply the purge during the fill.
+        // The sibling is filled from the parent cache, and all nodes apply the purge during the fill.
         site.fetch(1000 * MS, "b", fetch("2", 7, Some("a")));
         site.advance(1010 * MS);
         ["a", "b", "hub"]
--- a/rehearse/tests/purges.rs
+++ b/rehearse/tests/purges.rs
@@ -242,7 +242,7 @@
     p.site.fetch(purged_at + S / 10, other, stale_fill);
     p.site.advance(purged_at + S);
     p.site.purge(first, Ok(OBJECT), purged_at);
-    // Both caches have applied the purge. The first is removed from the list, so the router uses the other.
+    // Both caches have applied the purge. The first cache is removed from the list, so the router uses the second.
     let server = |state| Server {
         id: if first == "a" { 1 } else { 2 },
         zone: "here".into(),
--- a/rehearse/tests/report.rs
+++ b/rehearse/tests/report.rs
@@ -1,4 +1,4 @@
-//! Tests of reports as files and of their comparison.
+//! Tests of writing, reading and comparing report files.
 
 use linnetknot_rehearse::report::{compare, Part, Report};
 
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -288,7 +288,7 @@
     record.notices.iter_mut().for_each(|t| t.at -= 51 * MS);
     let rules: Vec<&str> = breaches_of(&record).iter().map(|b| b.rule).collect();
     assert_eq!(rules, ["drains", "purges"]);
-    // No rule is broken if the cache became ready again before the attempt.
+    // The attempt violates no rule if the cache became ready again before it.
     record
         .notices
         .push(notice(9 * S + MS, NoticeKind::Ready("box-1".into())));
--- a/replication/tests/compaction/main.rs
+++ b/replication/tests/compaction/main.rs
@@ -1,4 +1,4 @@
-//! Compaction and snapshots in fleets on virtual time. Every member must have each purge with its time or a later one,
+//! Compaction and snapshots in fleets on virtual time. Every member must have each purge with its time or a later time,
 //! both in memory and in the state that its disk would restore, and the time of a purge must never decrease.
 
 mod fleet;
--- a/replication/tests/compaction_model.rs
+++ b/replication/tests/compaction_model.rs
@@ -1,6 +1,6 @@
 //! Model checking of compaction and snapshots with stateright, on the real types. A writer compacts its log while a follower
 //! is behind, datagrams are lost, duplicated and reordered, disks lag, and proxies crash at any step. In every reachable
-//! state
+//! state:
 //!
 //! - no purge time has decreased, neither in a process nor in the state that its disk would restore;
 //! - no last index or durable index covers a purge that is missing;
@@ -36,7 +36,7 @@
     Entry(Entry),
     Buckets(Vec<(BucketIndex, Bucket)>),
     Compacted(Vec<CompactedLog>),
-    /// The compacted indexes of a snapshot.
+    /// The compacted indexes of a complete snapshot.
     Snapshot(Vec<CompactedLog>),
     Delete(Entry),
 }
@@ -98,7 +98,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Proxy {
-    /// `None` while the proxy is down.
+    /// The running process of the proxy, or `None` while the proxy is down.
     replica: Option<Replica>,
     process: u64,
     disk: Disk,
@@ -155,7 +155,7 @@
 }
 
 /// Returns whether a later entry for the same subject is on a disk. A disk stores one entry per log and subject, so a restored
-/// process skips superseded ones, and the later entry is still replicated.
+/// process skips superseded entries, and the later entry is still replicated.
 fn is_superseded_on_disk(state: &State, log: LogId, index: Index) -> bool {
     let (subject, _) = &state.appended[&(log, index)];
     let later = |proxy: &Proxy| {
@@ -321,7 +321,7 @@
         match action {
             Action::Purge => {
                 state.purges += 1;
-                // The second purge supersedes an earlier one.
+                // The second purge supersedes an earlier purge.
                 let purged = [4, 1, 5][usize::from(state.purges - 1) % 3];
                 self.purge(
                     state,
--- a/replication/tests/deferred_compaction.rs
+++ b/replication/tests/deferred_compaction.rs
@@ -16,7 +16,7 @@
     replica
 }
 
-/// Appends a purge and records it as synced.
+/// Appends a purge to the replica's own log and records the entry as synced.
 fn purge(replica: &mut Replica, n: u64) {
     let entry = replica.append(Subject::Group(n), n, false).unwrap();
     replica.record_synced(entry.log, entry.index);
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -32,7 +32,7 @@
     bytes: u64,
     /// The latest time of each purge.
     purged: BTreeMap<Subject, Micros>,
-    /// The duration of a write to a disk.
+    /// The duration of a write to a disk in microseconds.
     disk_us: Micros,
     /// The latest time of each committed purge.
     committed: BTreeMap<Subject, Micros>,
@@ -40,7 +40,7 @@
     options: Options,
 }
 
-/// The next event of a member.
+/// The next event in the simulated fleet.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Write(usize),
@@ -305,7 +305,7 @@
     }
 }
 
-/// Returns an acknowledgement of a log.
+/// Returns a datagram that acknowledges the entries of a log through an index.
 fn ack_of(process: u64, log: LogId, index: Index) -> Datagram {
     Datagram::Ack {
         process,
@@ -648,7 +648,7 @@
                     "seed {seed}, {n}: p{lost} was lost with its disk"
                 );
                 fleet.start(lost);
-                // The next machine is lost only after this one has recovered.
+                // The next machine is lost only after the replacement of this machine has recovered.
                 fleet.links.restore();
                 fleet.run(10 * S);
                 disk_losses += 1;
@@ -678,7 +678,7 @@
     );
 }
 
-/// Checks that the test above detects lost commits.
+/// Checks that the preceding test detects lost commits.
 #[test]
 fn commits_without_acknowledgements_are_lost_with_their_machine() {
     let mut lost = 0;
--- a/replication/tests/model.rs
+++ b/replication/tests/model.rs
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Proxy {
-    /// `None` while the proxy is down.
+    /// The running process of the proxy, or `None` while the proxy is down.
     replica: Option<Replica>,
     epoch: Epoch,
     process: u64,
--- a/replication/tests/recovery.rs
+++ b/replication/tests/recovery.rs
@@ -33,8 +33,8 @@
         (requests_to(&[]), requests_to(&[3]))
     );
     assert!(one_ack.record_caught_up(3) && one_ack.is_over() && one_ack.due().is_none());
-    // If a commit needs two acknowledgements, each commit is on both machines. It suffices to catch up with one of
-    // them.
+    // If a commit needs two acknowledgements, each commit is on both machines. It suffices to catch up with a
+    // peer on either machine.
     let mut two_acks = new(2);
     assert!(two_acks.record_caught_up(3));
     let mut late = new(1);
--- a/replication/tests/reorder.rs
+++ b/replication/tests/reorder.rs
@@ -46,7 +46,7 @@
         }
         _ => Vec::new(),
     };
-    // The first tick may only start the timer for the request, which has expired at the second.
+    // The first tick may only start the timer for the request. The timer has expired at the second tick.
     let first: Vec<_> = replica.tick(now).into_iter().flat_map(gaps_of).collect();
     if first.is_empty() {
         return replica
--- a/replication/tests/snapshot.rs
+++ b/replication/tests/snapshot.rs
@@ -345,10 +345,10 @@
 }
 
 /// The disk stores only the latest purge of a key. After a restart the compacted range may contain a purge whose only
-/// stored record is the later one. A receiver that advances past that index must still learn of the purge.
+/// stored record is the later one. A receiver that advances past that index must still receive the purge.
 #[test]
 fn a_snapshot_contains_purges_whose_superseding_entry_is_not_compacted() {
-    // The purge of group 1 at index 1 was superseded by the one at index 5.
+    // The purge of group 1 at index 1 was superseded by the purge at index 5.
     let entry = |index: Index, n| Entry {
         log: OWN,
         index,
--- a/store/tests/common/medium.rs
+++ b/store/tests/common/medium.rs
@@ -232,7 +232,7 @@
 }
 
 impl Medium {
-    /// Starts or ends an outage. Returns the previous one.
+    /// Starts or ends an outage. Returns the previous outage.
     pub(crate) fn set_outage(&self, outage: Option<Outage>) -> Option<Outage> {
         std::mem::replace(&mut self.0.lock().unwrap().outage, outage)
     }
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -17,7 +17,7 @@
     report: String,
 }
 
-/// The finaliser of splitmix64, repeated here so that the digest does not depend on the module.
+/// The finaliser of splitmix64, repeated here so that the digest does not depend on the decision module.
 pub(crate) fn scramble(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/tests/common/world/mod.rs
+++ b/tests/common/world/mod.rs
@@ -101,7 +101,7 @@
     /// Whether answers contain load reports.
     sends_load_reports: bool,
     transfers_by_link: Vec<f64>,
-    /// Capacity of the origin.
+    /// Number of requests per second that the origin can answer.
     pub origin_requests_per_s: f64,
     origin_free_at: Micros,
     pub rate_per_s: f64,
@@ -109,7 +109,7 @@
     pub work_s: f64,
     pub sigma: f64,
     pub sizes_known: bool,
-    /// Time after which clients stop waiting.
+    /// Time after which clients stop waiting for an answer.
     pub deadline_us: Micros,
     /// Shares of the requests by tenant.
     pub tenant_shares: Vec<f64>,
@@ -359,7 +359,7 @@
     }
 }
 
-/// Reason why `run` calls back.
+/// Reason for which `run` calls the `notify` callback of the test.
 pub(crate) enum Notice {
     /// A callback that the test scheduled, with the number that the test gave it.
     Call(u64),
--- a/tests/decision_trace/disturbances.rs
+++ b/tests/decision_trace/disturbances.rs
@@ -148,7 +148,7 @@
         });
     }
 
-    /// Reloads settings with reordered, removed or changed classes or fewer attempts; one in eight is invalid.
+    /// Reloads settings with reordered, removed or changed classes or fewer attempts. An eighth is invalid.
     fn change_settings(&mut self) {
         let mut new = self.settings.clone();
         let offset = self.below(new.classes.len() as u64) as usize;
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -17,7 +17,7 @@
 use std::path::Path;
 
 const WORLD_SECONDS: u64 = 10;
-/// Many events in a short time.
+/// Many requests and disturbances in a short simulated time.
 const BUSY: Workload = Workload {
     seconds: 10,
     checkpoint_seconds: 1,
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -1,4 +1,4 @@
-//! Boundary cases of the rules that every router must keep: deadlines, retries, draining servers, slow start and purges.
+//! Boundary cases of the rules that each router must keep: deadlines, retries, draining servers, slow start, purges.
 
 mod common;
 use common::*;
