--- a/daemon/tests/fleet_faults.rs
+++ b/daemon/tests/fleet_faults.rs
@@ -599,7 +599,7 @@
 /// the rejections.
 #[test]
 fn rejected_conflicting_operator_calls_restore_the_previous_state() {
-    // Calls last long enough that all four are pending at once, even on a busy machine.
+    // With this commit timeout all four calls are pending at once, even on a busy machine.
     let within_ms = Some(6_000);
     let setup = Setup {
         within_ms,
--- a/purges/tests/latest_purge.rs
+++ b/purges/tests/latest_purge.rs
@@ -189,7 +189,7 @@
     fn compact(&mut self, _: Micros, _: Micros) {}
 }
 
-/// A random step of a test, applied to the table and to its model.
+/// A random step of a test, applied to a table or to the model of a table.
 #[derive(Clone, Debug)]
 enum Step {
     Record(KeyHash, Micros),
--- a/rehearse/tests/timetable.rs
+++ b/rehearse/tests/timetable.rs
@@ -16,7 +16,7 @@
     Fault { at, lasts, what }
 }
 
-/// Returns a fault of each kind that consists of several steps. The faults are not sorted by time.
+/// Returns a fault of each kind that adds steps to the timetable. The faults are not sorted by time.
 fn faults() -> Vec<Fault> {
     vec![
         fault(10.0, 5.0, What::BoxDies { boxes: 2, first: 0 }),
