--- a/budgets/tests/model.rs
+++ b/budgets/tests/model.rs
@@ -24,7 +24,7 @@
     NoBug,
     /// A restarted member votes at once, although its earlier vote may not have expired.
     VotesAtStart,
-    /// A restarted member reuses its process id, so that it keeps its votes although it has forgotten its grants.
+    /// A restarted member reuses its process id, so that it keeps its votes although its grants are lost.
     ReusesProcessId,
     /// The allocator assumes that each holder has received the response to its previous request.
     AssumesDelivery,
@@ -38,7 +38,7 @@
     stalled_until: Option<Micros>,
 }
 
-/// A message in flight.
+/// A message in flight, with its sender and receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Envelope {
     from: MemberProcess,
@@ -52,7 +52,7 @@
     nodes: Vec<Node>,
     /// The messages in flight, oldest first.
     messages: Vec<Envelope>,
-    /// The allocator in the initial state.
+    /// The allocator in the initial state, or `None` if no member is elected yet.
     initial_allocator: Option<MemberIndex>,
     demander: MemberIndex,
     demand_moves: u8,
@@ -66,11 +66,11 @@
     AdvanceTime,
     Deliver(usize),
     DeliverDuplicate(usize),
-    /// Restarts a member. The flag states whether the member then believes that no other member is up.
+    /// Restarts a member. The flag states whether the member then considers all other members down.
     Restart(usize, bool),
     Stall(usize),
     Resume(usize),
-    /// Makes this member the only one with a demand.
+    /// Makes this member the only member with a demand.
     Demand(usize),
 }
 
--- a/daemon/tests/core.rs
+++ b/daemon/tests/core.rs
@@ -158,7 +158,7 @@
     core.admit(NOW, client(1), client_request(0)).unwrap();
     let first = sent_attempt(&core.take_commands()).unwrap();
     core.attempt_started(first);
-    // Advances the clock until the module considers the attempt stuck and cancels it.
+    // Advances the clock until the routing decision module considers the attempt stuck and cancels it.
     let (mut now, mut cancelled) = (NOW, false);
     while !cancelled && now < NOW + 900_000 {
         now += 50_000;
@@ -334,7 +334,7 @@
         core.take_commands().first(),
         Some(&Command::Withdraw(server_id("a")))
     );
-    // A server missing from a full list is removed.
+    // A server missing from a full list must be removed from the router.
     core.update_endpoints(
         NOW,
         ListMode::Full,
--- a/daemon/tests/event_ordering.rs
+++ b/daemon/tests/event_ordering.rs
@@ -421,7 +421,7 @@
     }
 }
 
-/// The response head of the event bus.
+/// The response head that the event bus sends before a stream of events.
 const EVENT_STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 
 fn event(offset: u64, body: Value) -> String {
@@ -518,7 +518,7 @@
     proxy.control.reload().unwrap();
     let (mut at_new_address, last) = new.accept();
     assert_eq!(last, 1);
-    // Events from the old address must be ignored; this one would remove the last cache.
+    // Events from the old address must be discarded; this event would remove the last cache.
     let leaving = topology(vec![entry(&proxy.caches[0], "here", "box", "gone")]);
     let _ = reconnecting.write_all([EVENT_STREAM_HEAD, &event(9, leaving)].concat().as_bytes());
     drop(reconnecting);
@@ -574,7 +574,7 @@
 fn partial_requests_of_many_clients_are_bounded_and_others_are_served() {
     let proxy = TestProxy::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
-        // Long enough that no connection is closed by this timeout during the test.
+        // This timeout exceeds the duration of the test, so it closes no connection.
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
     let request = WebServer::request(
--- a/daemon/tests/fleet_faults.rs
+++ b/daemon/tests/fleet_faults.rs
@@ -89,7 +89,7 @@
         !holds_floor(&fleet, 2, &object),
         "the purge must not cross the cut link"
     );
-    // The opposite direction is not cut.
+    // The opposite direction is not cut, so purges must arrive over it.
     assert_eq!(fleet.purge(2, &after).unwrap(), 201);
     assert!(fleet.wait_for_purge(0, &after).unwrap());
 }
@@ -457,7 +457,7 @@
         until(&format!("{point}: p1 has crashed"), || {
             fleet.status(1).is_err()
         });
-        // The writer's machine is lost too, so only p2 holds the commit.
+        // The writer's machine is lost too, so only p2 has the committed purge.
         fleet.kill(0).unwrap();
         fleet.kill(1).unwrap();
         fleet.restart(0, Disk::Lost).unwrap();
@@ -599,7 +599,7 @@
 /// the rejections.
 #[test]
 fn rejected_conflicting_operator_calls_restore_the_previous_state() {
-    // Long enough for all four calls to be pending at once on a busy machine.
+    // With this commit timeout all four calls are pending at once, even on a busy machine.
     let within_ms = Some(6_000);
     let setup = Setup {
         within_ms,
@@ -801,7 +801,7 @@
     });
 }
 
-/// A proxy that replaces a lost machine is not ready before it has recovered the bans and drains set by operators.
+/// A proxy on a replacement machine is not ready before it has recovered the bans and drains set by operators.
 #[test]
 fn bans_and_drains_survive_replacing_a_lost_machine() {
     let mut fleet = replicating_fleet(3, 70);
--- a/daemon/tests/stored_forms.rs
+++ b/daemon/tests/stored_forms.rs
@@ -22,13 +22,13 @@
 const STATE_2: &[u8] = include_bytes!("fixtures/state-2.store");
 /// The hash of the name `p0`.
 const WRITER: u64 = 0x08d5_9807_b575_ec6d;
-/// Epochs of the two stores.
+/// The log epochs in the two stored files, as microseconds since 1970.
 const EPOCH_1: Micros = 0x0006_61a4_cc7c_0065;
 const EPOCH_2: Micros = 0x0006_61a4_cc99_769b;
 /// Number of triggers in each store. Each of them purges two objects.
 const TRIGGERS: u64 = 6;
 const OBJECTS: u64 = 12;
-/// Limit of exact purge entries of the program that wrote the second store.
+/// Maximum number of exact purge entries in the program that wrote the second store.
 const EXACT_PURGES: usize = 4;
 /// Keyspaces that a ledger writes, and the store's header.
 const KEYSPACES: [&str; 6] = ["head", "own", "entries", "buckets", "compacted", "table"];
@@ -193,7 +193,7 @@
     running.ledger.close().unwrap();
 }
 
-/// Checks that a stored file is read, is not changed by that, and is rewritten identically.
+/// Checks that a stored file is read, that reading does not change the file, and that it is rewritten identically.
 fn check_store(
     name: &str,
     bytes: &[u8],
@@ -204,7 +204,7 @@
     let path = folder.write_file("old", bytes);
     assert_eq!(Store::open(&path).unwrap().format(), Ok(format));
     let original = read_pairs(&path);
-    // Opened one minute after its epoch.
+    // The store is opened at one minute after its epoch.
     let running = RunningLedger::open(&path, epoch + 60_000_000, exact_purges);
     check_contents(&running.ledger, epoch, second);
     let rewritten = folder.0.join("again");
--- a/discovery/tests/validation.rs
+++ b/discovery/tests/validation.rs
@@ -41,7 +41,7 @@
     entries.iter().map(|e| e.uid.as_str()).collect()
 }
 
-/// Zone `a` with four caches, zone `b` with one.
+/// Returns a list with four caches in zone `a` and one cache in zone `b`.
 fn listed() -> Vec<Entry> {
     ready(&["a1", "a2", "a3", "a4", "b1"])
 }
@@ -117,7 +117,7 @@
             (mode, removals.clone(), vec![])
         );
     }
-    // Draining caches are not retained.
+    // Draining caches that a list omits must not be retained.
     let drained: Vec<Entry> = listed
         .iter()
         .map(|e| entry(&e.uid, "a", State::Draining))
--- a/purges/tests/bucket.rs
+++ b/purges/tests/bucket.rs
@@ -1,4 +1,4 @@
-//! The semilattice laws and the encoding of buckets.
+//! Tests that merging buckets is associative, commutative and idempotent, and tests of the encoding of buckets.
 
 use linnetknot_purges::{Bucket, DecodeError, Fingerprint, KeyHash, Micros};
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
     Fingerprint::of(KeyHash::from(number))
 }
 
-/// A change of a bucket.
+/// A change that a test applies to a bucket.
 #[derive(Clone, Debug)]
 enum Step {
     Record(u64, Micros),
--- a/purges/tests/latest_purge.rs
+++ b/purges/tests/latest_purge.rs
@@ -189,7 +189,7 @@
     fn compact(&mut self, _: Micros, _: Micros) {}
 }
 
-/// A step of a test.
+/// A random step of a test, applied to a table or to the model of a table.
 #[derive(Clone, Debug)]
 enum Step {
     Record(KeyHash, Micros),
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -137,7 +137,7 @@
     judge(record, &Limits::default())
 }
 
-/// The name of a rule and a change of the record that breaks it.
+/// The name of a rule and a change to the record that violates the rule.
 type Fault = (&'static str, fn(&mut Record));
 
 const FAULTS: [Fault; 17] = [
@@ -288,7 +288,7 @@
     record.notices.iter_mut().for_each(|t| t.at -= 51 * MS);
     let rules: Vec<&str> = breaches_of(&record).iter().map(|b| b.rule).collect();
     assert_eq!(rules, ["drains", "purges"]);
-    // No rule is broken if the cache became ready again before the attempt.
+    // The attempt violates no rule if the cache became ready again before it.
     record
         .notices
         .push(notice(9 * S + MS, NoticeKind::Ready("box-1".into())));
@@ -355,7 +355,7 @@
     assert_eq!(score(&record).total.refused, 1.0);
     record.answered.clear();
     assert_eq!(score(&record).total.unanswered, 8.0);
-    // A record without requests has no score.
+    // The score of a record without requests must be `None`.
     assert_eq!(score(&Record::default()).total.score(), None);
     assert_eq!(score(&Record::default()).worst, None);
 }
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -20,7 +20,7 @@
     disk: LogStore,
     /// The pending writes to the disk, and when each of them completes.
     writes: VecDeque<(Micros, Entry)>,
-    /// The pending commits, with the subject and time of their purge.
+    /// The pending commits, each with the subject and time of its purge.
     pending: Vec<(CommitId, Subject, Micros)>,
     /// The datagrams that arrived during a stall; `None` if the member is not stalled.
     stalled: Option<Vec<(usize, Vec<u8>)>>,
@@ -32,7 +32,7 @@
     bytes: u64,
     /// The latest time of each purge.
     purged: BTreeMap<Subject, Micros>,
-    /// The duration of a write to a disk.
+    /// The duration of a write to a disk in microseconds.
     disk_us: Micros,
     /// The latest time of each committed purge.
     committed: BTreeMap<Subject, Micros>,
@@ -40,7 +40,7 @@
     options: Options,
 }
 
-/// The next event of a member.
+/// The next event in the simulated fleet.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Write(usize),
@@ -305,7 +305,7 @@
     }
 }
 
-/// Returns an acknowledgement of a log.
+/// Returns a datagram that acknowledges the entries of a log through an index.
 fn ack_of(process: u64, log: LogId, index: Index) -> Datagram {
     Datagram::Ack {
         process,
@@ -558,7 +558,7 @@
         (1, 0, 1)
     );
     assert_eq!(replica.log_store().entries().count(), 4);
-    // The disk works again.
+    // Writes to the disk succeed again.
     (1..=4).for_each(|index| drop(replica.record_synced(OWN, index)));
     let now = 100 + S;
     let moved = replica
@@ -648,7 +648,7 @@
                     "seed {seed}, {n}: p{lost} was lost with its disk"
                 );
                 fleet.start(lost);
-                // The next machine is lost only after this one has recovered.
+                // The next machine is lost only after the replacement of this machine has recovered.
                 fleet.links.restore();
                 fleet.run(10 * S);
                 disk_losses += 1;
@@ -678,7 +678,7 @@
     );
 }
 
-/// Checks that the test above detects lost commits.
+/// Checks that the preceding test detects lost commits.
 #[test]
 fn commits_without_acknowledgements_are_lost_with_their_machine() {
     let mut lost = 0;
@@ -762,7 +762,7 @@
         replica.receive(NOW, peer, ack());
         assert_eq!(replica.resolve_commits(200), [], "{peer}");
     }
-    // An acknowledgement of another writer's log does not count.
+    // An acknowledgement of another writer's log does not count towards the commit.
     replica.receive(NOW, 3, ack_of(5, LogId::new(2, 7), 9));
     assert_eq!(
         (replica.resolve_commits(200), replica.under_replicated()),
--- a/tests/common/world/mod.rs
+++ b/tests/common/world/mod.rs
@@ -41,13 +41,13 @@
     pub router: Router,
     pub zone: usize,
     open_requests: BTreeMap<RequestId, OpenRequest>,
-    /// Time at which the proxy learned that a server must get no new requests.
+    /// Time at which the proxy was notified that a server must get no new requests.
     withdrawn_at: BTreeMap<ServerId, Micros>,
 }
 
 struct OpenRequest {
     object: u64,
-    /// Transfer time at full rate, and index of the tenant.
+    /// Transfer time at full rate in seconds, and index of the tenant that the request belongs to.
     work_s: f64,
     tenant: usize,
     attempts: u32,
@@ -69,7 +69,7 @@
     End(usize, RequestId, u32, Outcome, Note, Micros),
     Deadline(usize, RequestId),
     List(usize, ListMode, Vec<Server>),
-    /// Calls the test back with this number.
+    /// Calls the callback of the test with this number.
     Call(u64),
 }
 
@@ -101,7 +101,7 @@
     /// Whether answers contain load reports.
     sends_load_reports: bool,
     transfers_by_link: Vec<f64>,
-    /// Capacity of the origin.
+    /// Number of requests per second that the origin can answer.
     pub origin_requests_per_s: f64,
     origin_free_at: Micros,
     pub rate_per_s: f64,
@@ -109,7 +109,7 @@
     pub work_s: f64,
     pub sigma: f64,
     pub sizes_known: bool,
-    /// Time after which clients stop waiting.
+    /// Time after which clients stop waiting for an answer.
     pub deadline_us: Micros,
     /// Shares of the requests by tenant.
     pub tenant_shares: Vec<f64>,
@@ -359,10 +359,10 @@
     }
 }
 
-/// Reason why `run` calls back.
+/// Reason for which `run` calls the `notify` callback of the test.
 pub(crate) enum Notice {
-    /// A scheduled callback with its number.
+    /// A callback that the test scheduled, with the number that the test gave it.
     Call(u64),
-    /// An attempt of this proxy has ended.
+    /// An attempt of the proxy with this index has ended.
     Outcome(usize),
 }
--- a/tests/decision_trace/disturbances.rs
+++ b/tests/decision_trace/disturbances.rs
@@ -47,8 +47,7 @@
         };
     }
 
-    /// Changes the state of a server, which drains, is removed, returns or restarts, and informs the router
-    /// immediately.
+    /// Drains, removes, restores or restarts a random server, and reports the change to the router immediately.
     fn change_server_state(&mut self) {
         let id = self.random_server();
         let started = self.now - self.below(4 * S);
@@ -149,7 +148,7 @@
         });
     }
 
-    /// Reloads settings with reordered, removed or changed classes or fewer attempts; one in eight is invalid.
+    /// Reloads settings with reordered, removed or changed classes or fewer attempts. An eighth is invalid.
     fn change_settings(&mut self) {
         let mut new = self.settings.clone();
         let offset = self.below(new.classes.len() as u64) as usize;
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -1,8 +1,7 @@
-//! Compares the decisions of the module, action by action, with recorded digests for several seeds and settings. A
-//! change that should not affect decisions must leave the files in `expected/` alone.
+//! Compares the actions of the routing decision module with recorded digests, for several seeds and settings.
 //!
-//! A change that is meant to affect decisions replaces the files with those that a failing run writes, and its commit
-//! gives the reason.
+//! The files in `expected/` must stay unchanged unless a change of decisions is intended. In that case, replace them
+//! with the files that the failing run writes, and explain the reason in the commit message.
 
 mod answers;
 #[path = "../common/mod.rs"]
@@ -18,7 +17,7 @@
 use std::path::Path;
 
 const WORLD_SECONDS: u64 = 10;
-/// Many events in a short time.
+/// Many requests and disturbances in a short simulated time.
 const BUSY: Workload = Workload {
     seconds: 10,
     checkpoint_seconds: 1,
@@ -26,7 +25,7 @@
     disturbance_interval_us: 120 * MS,
     object_count: 400,
 };
-/// Long enough for request counts to decay and servers to stay warm.
+/// Two minutes at a low rate, so that request counts decay and servers become warm and stay so.
 const SLOW: Workload = Workload {
     seconds: 120,
     checkpoint_seconds: 10,
@@ -34,7 +33,7 @@
     disturbance_interval_us: 3 * S,
     object_count: 400,
 };
-/// Too few requests for reliable slowdown averages.
+/// So few requests that the averages of the servers' slowdown are unreliable.
 const SPARSE: Workload = Workload {
     seconds: 1_200,
     checkpoint_seconds: 100,
@@ -50,7 +49,7 @@
     disturbance_interval_us: 600 * MS,
     object_count: 20_000,
 };
-/// Long enough for writes to be retried under all kinds of faults.
+/// One minute at the rate of `BUSY`, so that writes are retried under all kinds of faults.
 const LONG_BUSY: Workload = Workload {
     seconds: 60,
     checkpoint_seconds: 5,
