--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -96,7 +96,7 @@
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
     peer_index: PeerIndex,
     plain_purges: PlainPurges,
-    /// The deadline of the next step of `plain_purges`.
+    /// The deadline at which the next plain purge datagram is sent again or the next received one is written to the log.
     plain_purges_due: Option<DeadlineId>,
     origin_health: Option<OriginHealth>,
     /// The numbers of dropped datagrams: those from unknown senders, and those that were malformed.
--- a/daemon/src/daemon/reconnect.rs
+++ b/daemon/src/daemon/reconnect.rs
@@ -9,7 +9,8 @@
 use linnetknot::{Micros, Outcome, ServerId};
 use std::collections::BTreeSet;
 
-/// The deferred attempts, and the state of their retries.
+/// Attempts to send a request to a cache that are deferred because this machine could not open a connection, and the
+/// state of their retries.
 #[derive(Default)]
 pub(super) struct DeferredAttempts {
     attempts: Vec<AttemptId>,
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Sends datagrams of replication to peers.
+    /// Sends each replication datagram to its peer. Datagrams that cannot be encoded are skipped.
     pub(in crate::daemon) fn send_datagrams(&self, outgoing: Vec<Outgoing>) {
         for Outgoing { peer, datagram } in outgoing {
             if let Some(bytes) = datagram.encode() {
--- a/daemon/tests/complete_requests_answered.rs
+++ b/daemon/tests/complete_requests_answered.rs
@@ -109,7 +109,8 @@
     other.end().unwrap().1.unwrap().status
 }
 
-/// Each client has one complete request open while all of them exceed the memory for partial requests.
+/// Each client has one complete request open while the partial requests of all clients together exceed the memory limit
+/// for partial requests. Only partial requests may be rejected for it, and no connection may be closed.
 #[test]
 fn partial_requests_over_the_memory_limit_reject_no_complete_request() {
     const CLIENTS: usize = 5;
--- a/rehearse/src/fakes/cache_memory.rs
+++ b/rehearse/src/fakes/cache_memory.rs
@@ -28,7 +28,7 @@
 }
 
 impl CacheMemory {
-    /// Returns an empty memory of this capacity.
+    /// Returns an empty cache memory with a capacity of `capacity_kb`, in KB.
     pub fn new(capacity_kb: u64) -> Self {
         CacheMemory {
             capacity_kb,
--- a/rehearse/src/player/deployment.rs
+++ b/rehearse/src/player/deployment.rs
@@ -139,7 +139,7 @@
 pub struct Deployment {
     /// The fake site.
     pub site: FakeSite,
-    /// The nodes as listed.
+    /// The nodes, as the start configuration and the event bus list them to the proxies.
     pub nodes: Vec<Node>,
 }
 
--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -171,7 +171,7 @@
         &self.refused
     }
 
-    /// Returns how often a hollow member considered another member dead.
+    /// Returns how often a hollow member (a member simulated without clients) declared another member dead.
     pub fn deaths(&self) -> u64 {
         self.deaths
     }
--- a/rehearse/src/scale/daemons/report.rs
+++ b/rehearse/src/scale/daemons/report.rs
@@ -19,7 +19,7 @@
     pub memory_mb: f64,
     /// Peak resident memory in megabytes since the daemon started.
     pub peak_memory_mb: f64,
-    /// Datagrams per second from hollow members to the daemon.
+    /// Datagrams per second to the daemon from hollow members (members simulated without clients).
     pub datagrams_in: f64,
     /// Datagrams per second from the daemon to hollow members.
     pub datagrams_out: f64,
--- a/rehearse/src/scale/hollow/event.rs
+++ b/rehearse/src/scale/hollow/event.rs
@@ -38,7 +38,7 @@
     NotStored {
         /// Number of the purge.
         purge: PurgeNumber,
-        /// Reason why it cannot be stored.
+        /// Reason why the purge cannot be stored.
         reason: Refusal,
     },
     /// A peer is considered dead.
--- a/replication/tests/compaction/main.rs
+++ b/replication/tests/compaction/main.rs
@@ -80,7 +80,7 @@
             "seed {seed}"
         );
         fleet.check();
-        // The disk also has all purges.
+        // The disk of replica 3 also has all purges: none is missing after the replica is killed and restarted.
         fleet.kill(3);
         fleet.start(3);
         assert_eq!(fleet.missing_purges(3, Micros::MAX), 0, "seed {seed}");
